--- a/src/godwitbank/_internal/core/runs/claims.py
+++ b/src/godwitbank/_internal/core/runs/claims.py
@@ -11,11 +11,11 @@
 
 from godwitbank._internal.core.runs.links import SILENCE
 
-KEEP_SECONDS = 20.0
+CLAIM_RETENTION_SECONDS = 20.0
 """Seconds a claim is kept; longer than any caller waits (10 s)."""
 
 
-SAME_MOMENT = SILENCE
+SIMULTANEOUS_SECONDS = SILENCE
 """Seconds between two claims within which agents may hear either first: what was held
 up for longer isn't read any more."""
 
@@ -41,16 +41,16 @@
         self._claims[job] = Claimant(incarnation, now)
         self._unanswered[job] = stream
         self._stopping.discard(job)
-        while now - next(iter(self._claims.values())).at > KEEP_SECONDS:
+        while now - next(iter(self._claims.values())).at > CLAIM_RETENTION_SECONDS:
             self._claims.popitem(last=False)
 
-    def find_earlier(self, job: str, incarnation: str, now: float) -> str:
+    def find_winner(self, job: str, incarnation: str, now: float) -> str:
         """Find who claimed a job at the same moment and goes before an entry.
 
         :return: that one's incarnation, or an empty string.
         """
         claimant = self._claims.get(job)
-        if claimant is None or now - claimant.at > SAME_MOMENT:
+        if claimant is None or now - claimant.at > SIMULTANEOUS_SECONDS:
             return ""
         return claimant.incarnation if claimant.incarnation > incarnation else ""
 
@@ -63,7 +63,7 @@
         """List the jobs whose claim has not been answered."""
         return list(self._unanswered)
 
-    def answer(self, job: str) -> int:
+    def pop_answer_stream(self, job: str) -> int:
         """Take the stream on which a claim is answered."""
         self._stopping.discard(job)
         return self._unanswered.pop(job)
--- a/src/godwitbank/_internal/core/runs/entry.py
+++ b/src/godwitbank/_internal/core/runs/entry.py
@@ -139,12 +139,12 @@
         )
         self.dispatcher.hand_on = self.forwarding.try_forward_for_room
         self.forwarding.find_home = self.handover.find_home
-        self.forwarding.acquire = self.handover.acquire_at_once
+        self.forwarding.acquire = self.handover.try_acquire
         self.forwarding.resubmit = self.handover.submit_contested
         self.forwarding.on_gone = self.dispatcher.on_gone
-        self.forwarding.on_left = self.handover.leave_to
+        self.forwarding.on_left = self.handover.record_forwarded
         self.handover.join = self.forwarding.join_at
-        self.handover.has_handed_on = self.forwarding.has_handed_on
+        self.handover.has_forwarded = self.forwarding.has_handed_on
         self.intake = Intake(
             self.routes,
             self.dispatcher,
@@ -180,7 +180,7 @@
             Room: self._hear_room,
             EndpointNews: self._hear_news,
             Holding: self._hear_holding,
-            Claimed: self.handover.hear_claimed,
+            Claimed: self.handover.handle_claimed,
             Pulse: self._hear_agents_pulse,
             Probe: self._hear_probe,
         }
@@ -189,15 +189,15 @@
             Rules: self._hear_rules,
             Evacuated: self._hear_evacuated,
             Peers: self._hear_peers,
-            Took: self.handover.hear_took,
-            Yield: self.handover.hear_yield,
+            Took: self.handover.handle_took,
+            Yield: self.handover.handle_yield,
             Yielded: self.intake.hear_yielded,
-            Acquire: self.handover.hear_acquire,
-            Acquired: self.handover.hear_acquired,
-            Release: self.handover.hear_release,
+            Acquire: self.handover.handle_acquire,
+            Acquired: self.handover.handle_acquired,
+            Release: self.handover.handle_release,
             Join: self.intake.hear_join,
-            Locate: self.handover.whereabouts.hear_locate,
-            Located: self.handover.whereabouts.hear_located,
+            Locate: self.handover.reachability.handle_locate,
+            Located: self.handover.reachability.handle_located,
             Goodbye: self._hear_goodbye,
             Forward: self.intake.hear_forward,
             Forwarded: self.forwarding.hear_result,
@@ -209,12 +209,12 @@
         self._now = now
         self._out = []
         self.dispatcher.begin(now, self._out.append)
-        self.handover.begin(now, self._out.append)
+        self.handover.begin_event(now, self._out.append)
         self.intake.begin(now, self._out.append)
         if self.links.begin(now):
             self._wake()
         self._handlers[type(event)](event)
-        self.handover.check()
+        self.handover.process_due()
         self._check_quiet()
         actions = self.intake.route(self._out)
         self.links.note_sent(actions, now)
@@ -234,9 +234,7 @@
     @property
     def ready(self) -> bool:
         """Whether the balancer should send callers here."""
-        return (
-            bool(self.routes.version) and self.handover.informed and not self.stopping
-        )
+        return bool(self.routes.version) and self.handover.synced and not self.stopping
 
     def find_queue(self, host: str, path: str) -> QueueRules | None:
         """Find the queue of a request."""
@@ -313,7 +311,7 @@
         self._news += self.links.addresses.learn([hello.address], self._now)
         self._dial()
         self._send(event.stream, Peers(self.links.addresses.list_known(), []))
-        self.handover.regain_peer(link)
+        self.handover.handle_peer_connected(link)
         self._count_entries()
         # Before the rules, which make the other end ready to place runs.
         self._send_evacuation(event.stream)
@@ -346,9 +344,9 @@
         if view is not None:
             self.dispatcher.lose_view(view)
             return
-        self.handover.whereabouts.drop_stream(event.stream)
+        self.handover.reachability.drop_stream(event.stream)
         if self.links.find(link.hello.incarnation) is None:
-            self.handover.lose_peer(link)
+            self.handover.handle_peer_loss(link)
             self._count_entries()
             self.dispatcher.admission.forget(link.hello.incarnation)
         self.intake.drop_stream(event.stream)
@@ -356,7 +354,7 @@
 
     def _wake(self) -> None:
         """Begin anew after this process has stood still for longer than others wait."""
-        self.handover.wake()
+        self.handover.resume_after_pause()
         for link in self.links:
             self._drop_link(link.stream, "stood_still")
         for job in list(self.dispatcher.jobs.values()):
@@ -380,7 +378,7 @@
             self._drop_link(event.stream, "unexpected message")
             return
         if view is None:
-            self.handover.whereabouts.hear_peer(link)
+            self.handover.reachability.handle_peer_alive(link)
         receiver(view or link, event.message)
         if doubted and view is not None:
             self.dispatcher.dispatch(view.service, view)
@@ -515,7 +513,7 @@
         serves = self.ready and self.dispatcher.fleet.has_open
         lag = self.pressure.mean if serves else math.inf
         pulse = Pulse(self.dispatcher.measure_backlog(), 1.0, self._now, lag)
-        self.handover.tell_peers()
+        self.handover.announce_changes()
         for link in peers:
             self._send(link.stream, pulse)
 
--- a/src/godwitbank/_internal/core/runs/handover.py
+++ b/src/godwitbank/_internal/core/runs/handover.py
@@ -16,17 +16,19 @@
 from godwitbank._internal.core.runs.dispatcher import Dispatcher
 from godwitbank._internal.core.runs.events import Note, RunAction
 from godwitbank._internal.core.runs.fleet import AgentView
-from godwitbank._internal.core.runs.homes import HERE, Homes, Request
+from godwitbank._internal.core.runs.homes import LOCAL_ROUTE, AcquireRequest, Homes
 from godwitbank._internal.core.runs.links import SILENCE, Link, Links
 from godwitbank._internal.core.runs.ownership import (
-    CLAIM_SECONDS,
-    YIELD_SECONDS,
-    Taking,
-    Takings,
+    CLAIM_TIMEOUT_SECONDS,
+    YIELD_TIMEOUT_SECONDS,
+    JobOwnership,
+    Ownership,
 )
+from godwitbank._internal.core.runs.ownership_announcements import (
+    OwnershipAnnouncements,
+)
+from godwitbank._internal.core.runs.reachability import PeerReachability
 from godwitbank._internal.core.runs.readiness import Readiness
-from godwitbank._internal.core.runs.tellings import Tellings
-from godwitbank._internal.core.runs.whereabouts import Whereabouts
 from godwitbank._internal.core.runs.work import Job
 from godwitbank._internal.models.messages import Message
 from godwitbank._internal.models.run_messages import (
@@ -40,12 +42,12 @@
     Yielded,
 )
 
-ASK_AGAIN = -1
+RETRY_STREAM = -1
 """Stream of a job whose home wasn't found, and is looked for again with the next look
 at what waits."""
 
 
-class Asked(NamedTuple):
+class PendingRequest(NamedTuple):
     """A job whose home was asked whether it may start here.
 
     :param stream: on which it was asked.
@@ -72,40 +74,40 @@
         self._dispatcher = dispatcher
         self._links = links
         self._counts = counts
-        self._takings = Takings()
+        self._takings = JobOwnership()
         self._delayed: dict[str, Delayed] = {}
         self._unsorted: dict[str, Job] = {}
-        self._asked: dict[str, Asked] = {}
+        self._asked: dict[str, PendingRequest] = {}
         self._entries_per_agent = entries_per_agent
-        dispatcher.is_unsure = self.is_unsure
+        dispatcher.is_unsure = self.may_run_elsewhere
         dispatcher.on_gone = self._release
-        self.whereabouts = Whereabouts(links, self._takings, rng)
+        self.reachability = PeerReachability(links, self._takings, rng)
         self.homes = Homes(
             links,
             self._takings,
-            self.whereabouts,
+            self.reachability,
             lambda: self._sees_all_agents,
-            lambda: self.informed,
+            lambda: self.synced,
             self._find_holder,
         )
         self.join: Callable[[Job, Link], None] = lambda job, link: None
         """Lets the callers of a job wait for it at another entry."""
-        self.has_handed_on: Callable[[str], bool] = lambda job: False
+        self.has_forwarded: Callable[[str], bool] = lambda job: False
         """Tells whether a job that this entry may start was handed on to another."""
-        self._readiness = Readiness(links, self._takings, self.whereabouts, now)
-        self._tellings = Tellings(links)
+        self._readiness = Readiness(links, self._takings, self.reachability, now)
+        self._tellings = OwnershipAnnouncements(links)
         self._yields = Yields()
         self._now = now
         self._out: Callable[[RunAction], None] = lambda action: None
 
-    def begin(self, now: float, out: Callable[[RunAction], None]) -> None:
+    def begin_event(self, now: float, out: Callable[[RunAction], None]) -> None:
         """Prepare for one event."""
         self._now = now
         self._out = out
-        self.whereabouts.begin(now, out)
-        self.homes.begin(now, out)
-        self._tellings.begin(out)
-        self._readiness.begin(now)
+        self.reachability.begin_event(now, out)
+        self.homes.begin_event(now, out)
+        self._tellings.begin_event(out)
+        self._readiness.begin_event(now)
         self._yields.begin(out)
 
     def _note(self, event: str, request: str, **fields: object) -> None:
@@ -119,7 +121,7 @@
         """Whether a job waits here."""
         return bool(self._delayed or self._unsorted or self._asked)
 
-    def find(self, name: str) -> Job | None:
+    def find_waiting(self, name: str) -> Job | None:
         """Find a job that waits here for its callers."""
         if name in self._asked:
             return self._asked[name].job
@@ -129,13 +131,13 @@
         return self._unsorted.get(name)
 
     @property
-    def informed(self) -> bool:
+    def synced(self) -> bool:
         """Whether it is known what other entries have taken."""
-        return self._readiness.informed
+        return self._readiness.synced
 
-    def wake(self) -> None:
+    def resume_after_pause(self) -> None:
         """Begin anew after this entry stood still."""
-        self._readiness.wake()
+        self._readiness.resume_after_pause()
 
     @property
     def _sees_all_agents(self) -> bool:
@@ -143,7 +145,7 @@
 
     def submit(self, job: Job) -> None:
         """Start a job, or let it wait until nothing of it runs elsewhere."""
-        if self.informed:
+        if self.synced:
             self._sort_in(job)
         else:
             # What other entries have taken isn't known yet; it might run twice.
@@ -152,11 +154,13 @@
     def _hold(self, job: Job) -> None:
         name = job.spec.job
         if name not in self._unsorted:
-            known_at = max(self._readiness.informed_at, self._takings.find_over())
+            known_at = max(
+                self._readiness.sync_deadline, self._takings.get_last_expiry()
+            )
             self._note_delay(name, "uninformed", known_at)
         self._unsorted[name] = job
 
-    def lose_caller(self, caller: int) -> None:
+    def handle_caller_loss(self, caller: int) -> None:
         """Forget the jobs that only a caller who is gone waits for."""
         for name, job in self._list_waiting():
             if caller not in job.callers:
@@ -204,23 +208,23 @@
         self._asked.clear()
         self._delayed.clear()
 
-    def lose_peer(self, link: Link) -> None:
+    def handle_peer_loss(self, link: Link) -> None:
         """Note that a peer's last stream ended."""
         owner = link.hello.incarnation
-        self._readiness.lose(owner)
+        self._readiness.mark_lost(owner)
         # It may have proved its life to others later than to this entry, by as much as
         # may lie between two proofs.
         lived_at = min(self._now, link.heard_at + SILENCE)
         # Nothing is known of what others did while this entry stood still.
-        lived_at = max(lived_at, self._readiness.awake_since)
-        self.whereabouts.tell_lost(link, lived_at)
+        lived_at = max(lived_at, self._readiness.active_since)
+        self.reachability.announce_lost(link, lived_at)
         if not link.leaving:
-            self._takings.lose(owner, link.hello.address, lived_at)
+            self._takings.mark_lost(owner, link.hello.address, lived_at)
             if not self._links.list_peers():
-                self.give_up_unsure("cut_off")
-            self.whereabouts.ask(link.hello.address, owner)
+                self.give_up_uncertain("cut_off")
+            self.reachability.probe(link.hello.address, owner)
         # Whoever is asked in its place must know what it had let others start.
-        self._tellings.tell_rest(self._now)
+        self._tellings.announce_pending(self._now)
 
     def drop_stream(self, stream: int) -> None:
         """Ask others what was asked on a stream that has ended."""
@@ -238,9 +242,9 @@
         self.homes.leaving = True
         granted = self.homes.grants.list_by_owner()
         for link in self._links.list_peers():
-            self._tellings.tell_grants(link.stream, granted, self._now)
+            self._tellings.announce_grants(link.stream, granted, self._now)
 
-    def give_up_unsure(self, reason: str) -> None:
+    def give_up_uncertain(self, reason: str) -> None:
         """Give up the jobs that others may have taken unheard.
 
         After this entry lost all others at once, their callers may be elsewhere. Agents
@@ -251,35 +255,37 @@
         for job in list(self._dispatcher.jobs.values()):
             self._dispatcher.give_up(job, reason)
 
-    def is_unsure(self) -> bool:
+    def may_run_elsewhere(self) -> bool:
         """Tell whether a job that lost its runs may have been taken elsewhere."""
         return not self._sees_all_agents and self._is_blind()
 
     def _is_blind(self) -> bool:
-        return self._takings.is_blind(self._now, self._sees_all_agents)
+        return self._takings.may_be_incomplete(self._now, self._sees_all_agents)
 
-    def regain_peer(self, link: Link) -> None:
+    def handle_peer_connected(self, link: Link) -> None:
         """Note a peer's new stream, and tell it what was taken here."""
-        lost = self.whereabouts.regain(link)
+        lost = self.reachability.mark_connected(link)
         if lost:
-            self._takings.regain(lost)
+            self._takings.mark_connected(lost)
         # A peer that was started later must know what was taken before, also by
         # entries that are gone: their runs may live on under a lease. One of them
         # is its own former process, whose callers come to the same address again.
-        self._tellings.tell_all(link.stream, self._list_taken(), self._now)
-        self._tellings.pass_on(link.stream, self._takings, self._now)
+        self._tellings.announce_all(link.stream, self._list_taken(), self._now)
+        self._tellings.announce_unreachable_owners(
+            link.stream, self._takings, self._now
+        )
         granted = self.homes.grants.list_by_owner()
-        self._tellings.tell_grants(link.stream, granted, self._now)
+        self._tellings.announce_grants(link.stream, granted, self._now)
 
-    def check(self) -> None:
+    def process_due(self) -> None:
         """Act on what has become due."""
         self._answer_yields()
         self._sort_in_all()
-        self.homes.check()
+        self.homes.retry_waiting()
 
     def _sort_in(self, job: Job) -> None:
         name = job.spec.job
-        owner = self._takings.find(name)
+        owner = self._takings.find_owner(name)
         if self._is_stopping(name):
             self._unsorted[name] = job
         elif owner not in ("", self._links.own_incarnation):
@@ -297,24 +303,24 @@
         route = self.homes.find_route(name)
         if route is None:
             self._hold(job)
-        elif route == HERE:
+        elif route == LOCAL_ROUTE:
             holder = self.homes.decide(name, self._links.own_incarnation)
             self._hear_holder(job, holder)
         else:
-            number = self.homes.ask(name, route)
-            self._asked[name] = Asked(job, route.stream, number)
+            number = self.homes.request_job(name, route)
+            self._asked[name] = PendingRequest(job, route.stream, number)
 
     def find_home(self, name: str) -> Link | None:
         """Find the entry that decides about a job, if it is another one."""
         route = self.homes.find_route(name)
         return self._links.get(route.stream) if route and route.stream else None
 
-    def acquire_at_once(self, name: str) -> bool:
+    def try_acquire(self, name: str) -> bool:
         """Tell whether this entry decides about a job, and may start it."""
-        if not self.informed or self._takings.find(name) or self._is_blind():
+        if not self.synced or self._takings.find_owner(name) or self._is_blind():
             return False
         own = self._links.own_incarnation
-        is_home = self.homes.find_route(name) == HERE
+        is_home = self.homes.find_route(name) == LOCAL_ROUTE
         return is_home and self.homes.decide(name, own) == own
 
     def _hear_holder(self, job: Job, holder: str | None) -> None:
@@ -343,36 +349,36 @@
     def _may_run_unheard(self, job: Job) -> bool:
         if not self._is_blind():
             return False
-        return self._sees_all_agents or self.homes.was_lost(job.spec.job)
+        return self._sees_all_agents or self.homes.may_be_lost(job.spec.job)
 
-    def hear_acquire(self, link: Link, message: Acquire) -> None:
+    def handle_acquire(self, link: Link, message: Acquire) -> None:
         """Decide whether another entry may start a job, or pass the question on."""
         job, owner, number, acting, hops = message
-        request = Request(job, owner, number, link.stream, acting, hops)
-        self.homes.hear_request(request)
+        request = AcquireRequest(job, owner, number, link.stream, acting, hops)
+        self.homes.handle_request(request)
 
-    def hear_acquired(self, link: Link, message: Acquired) -> None:
+    def handle_acquired(self, link: Link, message: Acquired) -> None:
         """Take the answer of a job's home."""
-        self.homes.hear_answer(link.stream, message)
+        self.homes.handle_answer(link.stream, message)
         asked = self._asked.get(message.job)
         own = message.asker == self._links.own_incarnation
         if not own or asked is None or asked.number != message.number:
             return
         if not message.owner:
-            self._asked[message.job] = asked._replace(stream=ASK_AGAIN)
+            self._asked[message.job] = asked._replace(stream=RETRY_STREAM)
         else:
             del self._asked[message.job]
             self._hear_holder(asked.job, message.owner)
 
-    def hear_release(self, link: Link, message: Release) -> None:
+    def handle_release(self, link: Link, message: Release) -> None:
         """Note that nothing of some jobs is left at another entry."""
         del link
-        self.homes.hear_release(message)
+        self.homes.handle_release(message)
 
     def _is_here(self, name: str) -> bool:
         delayed = self._delayed.get(name)
         claiming = delayed is not None and delayed.claiming and not delayed.abandoned
-        return name in self._dispatcher.jobs or claiming or self.has_handed_on(name)
+        return name in self._dispatcher.jobs or claiming or self.has_forwarded(name)
 
     def _find_holder(self, name: str) -> str | None:
         """Find the entry that has a job; ``None`` while its runs are being stopped."""
@@ -382,16 +388,18 @@
             return None
         if self._is_here(name):
             return own
-        owner = self.homes.grants.find(name) or self._takings.find(name)
+        owner = self.homes.grants.find_owner(name) or self._takings.find_owner(name)
         if owner in ("", own) or self._is_over(owner):
             return ""
         return owner
 
     def _is_over(self, owner: str) -> bool:
         """Tell whether nothing runs by the orders of an entry any more."""
-        if self._links.find(owner) is not None or self.whereabouts.reaches(owner):
+        if self._links.find(
+            owner
+        ) is not None or self.reachability.is_indirectly_reachable(owner):
             return False
-        return self._takings.find_lapse(owner, self._now) <= self._now
+        return self._takings.get_expiry(owner, self._now) <= self._now
 
     def _release(self, name: str) -> None:
         self._tellings.forget(name)
@@ -401,12 +409,12 @@
         """Tell whether a lost entry may run a job that can't be asked for."""
         if self._is_stopping(job.spec.job):
             return True
-        if self._sees_all_agents or self._takings.find(job.spec.job):
+        if self._sees_all_agents or self._takings.find_owner(job.spec.job):
             return False
         return self._is_blind() and self.homes.find_route(job.spec.job) is None
 
     def _sort_in_all(self) -> None:
-        if not self._unsorted or not self.informed:
+        if not self._unsorted or not self.synced:
             return
         for job in list(self._unsorted.values()):
             if not self._must_wait(job):
@@ -425,18 +433,18 @@
         if not views:
             self._take(job)
             return
-        start_at = self._now + CLAIM_SECONDS
-        if self.homes.was_lost(name):
-            start_at = max(start_at, self._takings.find_over())
+        start_at = self._now + CLAIM_TIMEOUT_SECONDS
+        if self.homes.may_be_lost(name):
+            start_at = max(start_at, self._takings.get_last_expiry())
         delayed = Delayed(job, self._now, start_at)
         delayed.claim(views)
         self._delayed[name] = delayed
         self._note_delay(name, "claimed", start_at)
-        self._tellings.tell(name, self._now)
+        self._tellings.announce(name, self._now)
         for stream in views:
             self._send(stream, Claim(name))
 
-    def hear_claimed(self, view: AgentView, message: Claimed) -> None:
+    def handle_claimed(self, view: AgentView, message: Claimed) -> None:
         """Count off an agent that runs nothing of a job by others' orders."""
         delayed = self._delayed.get(message.job)
         if delayed is None or not delayed.claiming:
@@ -453,21 +461,21 @@
     @property
     def _knows_agents(self) -> bool:
         """Whether no agent can run a job that isn't asked for it."""
-        young = self._readiness.is_young
+        young = self._readiness.is_recently_active
         return not young and not self._dispatcher.fleet.misses(self._now)
 
     def _take(self, job: Job) -> None:
         name = job.spec.job
         self._dispatcher.submit(job)
         if name in self._dispatcher.jobs:
-            self._tellings.tell(name, self._now)
-        elif not self.has_handed_on(name):
+            self._tellings.announce(name, self._now)
+        elif not self.has_forwarded(name):
             self._release(name)
 
-    def tell_peers(self) -> None:
+    def announce_changes(self) -> None:
         """Tell other entries what was taken and released since the last time."""
-        self._tellings.tell_rest(self._now)
-        self.homes.tell_released()
+        self._tellings.announce_pending(self._now)
+        self.homes.announce_released()
 
     def _note_delay(self, name: str, reason: str, until: float) -> None:
         self._counts.add("jobs_delayed", reason)
@@ -477,22 +485,22 @@
     def _ask_owner(self, job: Job, owner: str) -> None:
         name = job.spec.job
         link = self._links.find(owner)
-        start_at = self._now + YIELD_SECONDS
+        start_at = self._now + YIELD_TIMEOUT_SECONDS
         if link is not None:
             self._send(link.stream, Yield(name, ""))
-        elif not self.whereabouts.pass_yield(name, owner):
-            start_at = self._takings.find_lapse(owner, self._now)
+        elif not self.reachability.relay_yield(name, owner):
+            start_at = self._takings.get_expiry(owner, self._now)
         reason = "owner_gone" if link is None else "asked"
         self._note_delay(name, reason, start_at)
         self._delayed[name] = Delayed(job, self._now, start_at)
 
-    def hear_yielded(self, link: Link, message: Yielded) -> None:
+    def handle_yielded(self, link: Link, message: Yielded) -> None:
         """Another entry has stopped a job."""
         name = message.job
         self._yields.answer_relayed(name)
         delayed = self._delayed.get(name)
         awaited = delayed is not None and not delayed.claiming
-        if awaited or self._takings.find(name) == link.hello.incarnation:
+        if awaited or self._takings.find_owner(name) == link.hello.incarnation:
             self._takings.forget(name)
         if delayed is not None and awaited:
             self._acquire_next(delayed)
@@ -517,7 +525,7 @@
 
     def start_delayed(self) -> None:
         """Start the jobs that have waited long enough."""
-        self._ask_again(ASK_AGAIN)
+        self._ask_again(RETRY_STREAM)
         for name, delayed in list(self._delayed.items()):
             if delayed.start_at > self._now:
                 continue
@@ -525,17 +533,17 @@
                 if self._is_claimed(delayed):
                     self._start_now(delayed)
                 continue
-            owner = self._takings.find(name)
+            owner = self._takings.find_owner(name)
             link = self._links.find(owner)
             if link is not None:
                 # It answers, but has not said that all is stopped.
-                delayed.start_at = self._now + YIELD_SECONDS
+                delayed.start_at = self._now + YIELD_TIMEOUT_SECONDS
                 self._send(link.stream, Yield(name, ""))
                 continue
-            if self.whereabouts.pass_yield(name, owner):
-                delayed.start_at = self._now + YIELD_SECONDS
+            if self.reachability.relay_yield(name, owner):
+                delayed.start_at = self._now + YIELD_TIMEOUT_SECONDS
                 continue
-            lapse = self._takings.find_lapse(owner, self._now)
+            lapse = self._takings.get_expiry(owner, self._now)
             if owner and lapse > self._now:
                 delayed.start_at = lapse
                 continue
@@ -545,9 +553,11 @@
     def _is_claimed(self, delayed: Delayed) -> bool:
         views = self._dispatcher.fleet.views
         links = {stream: view.link for stream, view in views.items()}
-        return delayed.may_start(links, self._now, not self._takings.confirmed)
+        return delayed.may_start(
+            links, self._now, not self._takings.all_losses_confirmed
+        )
 
-    def hear_yield(self, link: Link, message: Yield) -> None:
+    def handle_yield(self, link: Link, message: Yield) -> None:
         """Stop a job whose caller came to another entry, or pass that on."""
         if message.owner not in ("", self._links.own_incarnation):
             owner = self._links.find(message.owner)
@@ -569,23 +579,23 @@
             waiting.callers, job.callers = job.callers, []
             self.join(waiting, link)
 
-    def leave_to(self, name: str, server: str) -> None:
+    def record_forwarded(self, name: str, server: str) -> None:
         """Note that a job which this entry had handed on may still run there."""
-        self._takings.note(name, 0.0, server, self._now)
-        self.homes.grants.move(name, server, self._now)
+        self._takings.record(name, 0.0, server, self._now)
+        self.homes.grants.transfer(name, server, self._now)
         home = self.find_home(name)
         if home is not None:
-            taking = Taking(server, self._now)
-            self._tellings.remind(home.stream, name, taking, self._now)
+            taking = Ownership(server, self._now)
+            self._tellings.announce_previous_owner(home.stream, name, taking, self._now)
 
-    def hear_join(self, link: Link, name: str) -> None:
+    def handle_join(self, link: Link, name: str) -> None:
         """Tell an entry whose caller wants to wait here that the job isn't here.
 
         It is told so once nothing of it runs here any more.
         """
         known = self._takings.get(name)
         if known is not None and known.incarnation != link.hello.incarnation:
-            self._tellings.remind(link.stream, name, known, self._now)
+            self._tellings.announce_previous_owner(link.stream, name, known, self._now)
         self._yields.add(name, link.stream)
 
     def _abandon(self, name: str) -> None:
@@ -598,9 +608,9 @@
         for name in self._yields.list_jobs():
             if self._is_stopping(name):
                 continue
-            if self.find(name) is None:
+            if self.find_waiting(name) is None:
                 self._release(name)
-                self.homes.tell_released()
+                self.homes.announce_released()
             self._yields.answer(name)
 
     def _list_taken(self) -> list[Job]:
@@ -609,24 +619,26 @@
         taken += [each.job for each in self._delayed.values() if each.claiming]
         return taken
 
-    def hear_took(self, link: Link, message: Took) -> None:
+    def handle_took(self, link: Link, message: Took) -> None:
         """Note what another entry has taken."""
         owner = message.owner or link.hello.incarnation
         if not message.owner:
-            self._readiness.hear(owner)
-            self._takings.regain(owner)
-            self.whereabouts.pass_on(link, message)
+            self._readiness.record_announcement(owner)
+            self._takings.mark_connected(owner)
+            self.reachability.forward_ownership(link, message)
         if owner == self._links.own_incarnation:
             return
         if self._links.find(owner) is None:
-            self._takings.miss(owner, self._now)
+            self._takings.record_unreachable(owner, self._now)
         for name, age in zip(message.jobs, message.ages, strict=False):
             known = self._takings.get(name)
             if not message.owner and known and known.incarnation != owner:
                 # It may not reach the one that had the job before.
-                self._tellings.remind(link.stream, name, known, self._now)
-            self._takings.note(name, age, owner, self._now)
-            self.homes.grants.move(name, self._takings.find(name), self._now)
+                self._tellings.announce_previous_owner(
+                    link.stream, name, known, self._now
+                )
+            self._takings.record(name, age, owner, self._now)
+            self.homes.grants.transfer(name, self._takings.find_owner(name), self._now)
             self._give_way(name, age, link if not message.owner else None)
             self._ask_earlier(name, age, owner)
 
--- a/src/godwitbank/_internal/core/runs/homes.py
+++ b/src/godwitbank/_internal/core/runs/homes.py
@@ -16,19 +16,19 @@
 from godwitbank._internal.core.events import Send
 from godwitbank._internal.core.runs.events import RunAction
 from godwitbank._internal.core.runs.links import SILENCE, Links
-from godwitbank._internal.core.runs.ownership import Takings
-from godwitbank._internal.core.runs.whereabouts import Whereabouts
+from godwitbank._internal.core.runs.ownership import JobOwnership
+from godwitbank._internal.core.runs.reachability import PeerReachability
 from godwitbank._internal.models.run_messages import Acquire, Acquired, Release
 
 MAX_HOPS = 3
 """Times that a request is passed on. Entries that know of different others may take
 each other for the home for a moment."""
 
-KEEP_SECONDS = 60.0
+GRANT_RETENTION_SECONDS = 60.0
 """Seconds after which a grant that was never released is forgotten; longer than any
 caller waits."""
 
-REMEMBERED_HOMES = 4096
+HOME_CACHE_SIZE = 4096
 """Jobs whose home is remembered, so that it isn't worked out for each look."""
 
 
@@ -44,7 +44,7 @@
     at: float
 
 
-class Request(NamedTuple):
+class AcquireRequest(NamedTuple):
     """A job that an entry wants.
 
     :param owner: the entry's incarnation.
@@ -73,10 +73,10 @@
     acting: bool
 
 
-HERE = Route(0, False)
+LOCAL_ROUTE = Route(0, False)
 
 
-@lru_cache(maxsize=REMEMBERED_HOMES)
+@lru_cache(maxsize=HOME_CACHE_SIZE)
 def choose_home(job: str, addresses: tuple[str, ...]) -> str:
     """Choose the home of a job among entries."""
 
@@ -96,17 +96,17 @@
         """Note that an entry may start a job."""
         self._grants.pop(job, None)
         self._grants[job] = Grant(owner, number, now)
-        while now - next(iter(self._grants.values())).at > KEEP_SECONDS:
+        while now - next(iter(self._grants.values())).at > GRANT_RETENTION_SECONDS:
             self._grants.popitem(last=False)
 
-    def find(self, job: str) -> str:
+    def find_owner(self, job: str) -> str:
         """Find the incarnation that may start a job, or an empty string."""
         grant = self._grants.get(job)
         return grant.owner if grant else ""
 
-    def move(self, job: str, owner: str, now: float) -> None:
+    def transfer(self, job: str, owner: str, now: float) -> None:
         """Note that another entry has taken a job over."""
-        if job in self._grants and self.find(job) != owner:
+        if job in self._grants and self.find_owner(job) != owner:
             self.add(job, owner, 0, now)
 
     def remove(self, job: str, owner: str, number: int, now: float) -> None:
@@ -141,8 +141,8 @@
     def __init__(
         self,
         links: Links,
-        takings: Takings,
-        whereabouts: Whereabouts,
+        takings: JobOwnership,
+        whereabouts: PeerReachability,
         sees_all_agents: Callable[[], bool],
         is_informed: Callable[[], bool],
         find_holder: Callable[[str], str | None],
@@ -155,24 +155,24 @@
         self._sees_all_agents = sees_all_agents
         self._is_informed = is_informed
         self._find_holder = find_holder
-        self._waiting: list[Request] = []
-        self._passed: dict[int, list[Request]] = {}
+        self._waiting: list[AcquireRequest] = []
+        self._passed: dict[int, list[AcquireRequest]] = {}
         self._numbers: dict[str, int] = {}
         self._released: dict[str, int] = {}
         self._counter = itertools.count(1)
         self._now = 0.0
         self._out: Callable[[RunAction], None] = lambda action: None
 
-    def begin(self, now: float, out: Callable[[RunAction], None]) -> None:
+    def begin_event(self, now: float, out: Callable[[RunAction], None]) -> None:
         """Prepare for one event."""
         self._now = now
         self._out = out
 
     # Who decides
 
-    def find_route(self, job: str, without_me: bool = False) -> Route | None:
+    def find_route(self, job: str, exclude_self: bool = False) -> Route | None:
         """Find where a job is decided; ``None`` while its home may be gone or not."""
-        streams = self._whereabouts.list_ways()
+        streams = self._whereabouts.list_relay_streams()
         peers = self._links.list_peers()
         for link in peers:
             streams.pop(link.hello.address, None)
@@ -180,29 +180,29 @@
             if not link.leaving:
                 streams[link.hello.address] = link.stream
         own = self._links.addresses.own
-        if not (self.leaving or without_me):
+        if not (self.leaving or exclude_self):
             streams[own] = 0
         lost: set[str] = set()
         if not self._sees_all_agents():
-            lost = self._takings.list_lost(self._now)
+            lost = self._takings.list_lost_addresses(self._now)
         addresses = {*streams, *lost}
         if not addresses:
-            return None if without_me else HERE
+            return None if exclude_self else LOCAL_ROUTE
         home = choose_home(job, tuple(sorted(addresses)))
         if home in lost:
             return None
         return Route(streams[home], False)
 
-    def was_lost(self, job: str) -> bool:
+    def may_be_lost(self, job: str) -> bool:
         """Tell whether a job's home may be an entry that was lost lately."""
         peers = [link.hello.address for link in self._links.list_peers()]
-        lost = self._takings.list_lost()
+        lost = self._takings.list_lost_addresses()
         addresses = {*peers, *lost, self._links.addresses.own}
         return choose_home(job, tuple(sorted(addresses))) in lost
 
     # As the one that wants a job
 
-    def ask(self, job: str, route: Route) -> int:
+    def request_job(self, job: str, route: Route) -> int:
         """Ask a job's home whether this entry may start it.
 
         :return: the request's number.
@@ -217,13 +217,13 @@
         """Tell a job's home that nothing of it is left here."""
         self._released[job] = self._numbers.pop(job, 0)
 
-    def tell_released(self) -> None:
+    def announce_released(self) -> None:
         """Tell homes of the jobs released since the last time."""
         if self._released:
             released, self._released = self._released, {}
             own = self._links.own_incarnation
             jobs, numbers = list(released), list(released.values())
-            self.hear_release(Release(jobs, numbers, own, MAX_HOPS))
+            self.handle_release(Release(jobs, numbers, own, MAX_HOPS))
 
     # As the one that decides, or passes requests on
 
@@ -240,18 +240,18 @@
             return owner
         return holder
 
-    def hear_request(self, request: Request) -> None:
+    def handle_request(self, request: AcquireRequest) -> None:
         """Decide a request, pass it on, or let it wait."""
         if not self._serve(request):
             self._waiting.append(request)
 
-    def check(self) -> None:
+    def retry_waiting(self) -> None:
         """Look again at the requests that wait."""
         if self._waiting:
             waiting, self._waiting = self._waiting, []
             self._waiting = [each for each in waiting if not self._serve(each)]
 
-    def _serve(self, request: Request) -> bool:
+    def _serve(self, request: AcquireRequest) -> bool:
         route = self._choose_route(request)
         if route is None:
             return False
@@ -265,17 +265,17 @@
         self._out(Send(request.stream, answer))
         return True
 
-    def _choose_route(self, request: Request) -> Route | None:
+    def _choose_route(self, request: AcquireRequest) -> Route | None:
         if request.acting:
-            return HERE if self._is_informed() else None
+            return LOCAL_ROUTE if self._is_informed() else None
         route = self.find_route(request.job)
-        if route != HERE or self._is_informed():
+        if route != LOCAL_ROUTE or self._is_informed():
             return route
         # This entry has just joined; the home before it knows who has the job.
-        other = self.find_route(request.job, without_me=True)
+        other = self.find_route(request.job, exclude_self=True)
         return other and other._replace(acting=True)
 
-    def _pass_on(self, request: Request, route: Route) -> None:
+    def _pass_on(self, request: AcquireRequest, route: Route) -> None:
         job, owner, number, _, _, hops = request
         if hops == 0 or route.stream == request.stream:
             self._out(Send(request.stream, Acquired(job, owner, number, "")))
@@ -284,16 +284,16 @@
         message = Acquire(job, owner, number, route.acting, hops - 1)
         self._out(Send(route.stream, message))
 
-    def hear_answer(self, stream: int, answer: Acquired) -> None:
+    def handle_answer(self, stream: int, answer: Acquired) -> None:
         """Pass an answer back to whom it is for."""
         if answer.owner not in ("", self._links.own_incarnation):
-            self._takings.note(answer.job, 0.0, answer.owner, self._now)
+            self._takings.record(answer.job, 0.0, answer.owner, self._now)
         for request in list(self._passed.get(stream, ())):
             if request[:3] == answer[:3]:
                 self._passed[stream].remove(request)
                 self._out(Send(request.stream, answer))
 
-    def hear_release(self, release: Release) -> None:
+    def handle_release(self, release: Release) -> None:
         """Note that nothing of some jobs is left at an entry, or pass that on."""
         owner, hops = release.owner, release.hops
         passed: dict[int, dict[str, int]] = {}
@@ -310,7 +310,7 @@
         wanted = (job, owner, number)
         self._waiting = [each for each in self._waiting if each[:3] != wanted]
         self.grants.remove(job, owner, number, self._now)
-        if self._takings.find(job) == owner:
+        if self._takings.find_owner(job) == owner:
             self._takings.forget(job)
 
     def drop_stream(self, stream: int) -> None:
--- a/src/godwitbank/_internal/core/runs/witnesses.py
+++ b/src/godwitbank/_internal/core/runs/indirect_probes.py
@@ -11,38 +11,38 @@
 
 from godwitbank._internal.core.runs.links import Link
 
-WITNESSES = 2
+INDIRECT_PROBE_COUNT = 2
 """Entries that are asked. One may be about to end, or be cut off in the same way."""
 
-FOLLOW_SECONDS = 12.0
+SUBSCRIPTION_SECONDS = 12.0
 """Seconds for which an entry is told what one takes that it can't reach; longer than
 callers wait (10 s)."""
 
 
-class Question(NamedTuple):
+class PendingProbe(NamedTuple):
     """A lost entry, and whose answers are missing."""
 
     address: str
     streams: frozenset[int]
 
 
-class Witnesses:
+class IndirectProbes:
     """Questions about entries that this one has lost."""
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
-        self._open: dict[str, Question] = {}
+        self._open: dict[str, PendingProbe] = {}
         self._reachable: dict[str, int] = {}
 
-    def ask(self, address: str, peers: list[Link]) -> list[Link]:
+    def start(self, address: str, peers: list[Link]) -> list[Link]:
         """Choose whom to ask for a lost entry; nobody if nobody is there."""
-        chosen = self._rng.sample(peers, min(WITNESSES, len(peers)))
+        chosen = self._rng.sample(peers, min(INDIRECT_PROBE_COUNT, len(peers)))
         if chosen:
             streams = frozenset(link.stream for link in chosen)
-            self._open[address] = Question(address, streams)
+            self._open[address] = PendingProbe(address, streams)
         return chosen
 
-    def hear(self, stream: int, address: str, reachable: bool) -> bool:
+    def handle_answer(self, stream: int, address: str, reachable: bool) -> bool:
         """Take an answer; tells whether the lost entry is gone for all that know."""
         if reachable:
             self._open.pop(address, None)
@@ -60,15 +60,15 @@
         del self._open[address]
         return True
 
-    def is_reached_by(self, stream: int, address: str) -> bool:
+    def is_reachable_through(self, stream: int, address: str) -> bool:
         """Tell whether the entry on a stream has said that it reaches a lost one."""
         return self._reachable.get(address) == stream
 
-    def is_reached(self, address: str) -> bool:
+    def is_reachable(self, address: str) -> bool:
         """Tell whether somebody reaches a lost entry."""
         return address in self._reachable
 
-    def list_reached(self) -> dict[str, int]:
+    def list_reachable(self) -> dict[str, int]:
         """List streams to those that reach lost entries, by these ones' addresses."""
         return dict(self._reachable)
 
@@ -93,25 +93,25 @@
         return unanswered
 
 
-class Follower(NamedTuple):
+class Subscriber(NamedTuple):
     """An entry that has lost another one, and since when it asks."""
 
     stream: int
     asked_at: float
 
 
-class Testimony:
+class ProbeRequests:
     """Questions of other entries about those that this one may reach."""
 
     def __init__(self) -> None:
-        self._asked: dict[str, list[Follower]] = {}
-        self._followers: dict[str, list[Follower]] = {}
+        self._asked: dict[str, list[Subscriber]] = {}
+        self._followers: dict[str, list[Subscriber]] = {}
 
-    def ask(self, address: str, stream: int, now: float) -> None:
+    def add(self, address: str, stream: int, now: float) -> None:
         """Note a question; it is answered when the entry is heard, or lost."""
-        self._asked.setdefault(address, []).append(Follower(stream, now))
+        self._asked.setdefault(address, []).append(Subscriber(stream, now))
 
-    def hear(self, address: str) -> list[int]:
+    def handle_alive(self, address: str) -> list[int]:
         """Note that an entry was heard; returns whom to tell so."""
         asked = self._asked.pop(address, None)
         if asked is None:
@@ -119,25 +119,25 @@
         self._followers.setdefault(address, []).extend(asked)
         return [each.stream for each in asked]
 
-    def lose(self, address: str, now: float) -> list[int]:
+    def handle_loss(self, address: str, now: float) -> list[int]:
         """Note that an entry was lost; returns whom to tell so.
 
         They are told again if another process starts at its address.
         """
         told = self._asked.pop(address, []) + self._followers.pop(address, [])
-        fresh = [each for each in told if now - each.asked_at < FOLLOW_SECONDS]
+        fresh = [each for each in told if now - each.asked_at < SUBSCRIPTION_SECONDS]
         if fresh:
             self._asked[address] = fresh
         return [each.stream for each in told]
 
-    def list_followers(self, address: str, now: float) -> list[int]:
+    def list_subscribers(self, address: str, now: float) -> list[int]:
         """List whom to tell what an entry has taken."""
         if address not in self._followers:
             return []
         self._followers[address] = [
             each
             for each in self._followers[address]
-            if now - each.asked_at < FOLLOW_SECONDS
+            if now - each.asked_at < SUBSCRIPTION_SECONDS
         ]
         return [each.stream for each in self._followers[address]]
 
--- a/src/godwitbank/_internal/core/runs/intake.py
+++ b/src/godwitbank/_internal/core/runs/intake.py
@@ -5,7 +5,6 @@
 from godwitbank._internal.core.counters import Counts
 from godwitbank._internal.core.pressure import Pressure
 from godwitbank._internal.core.runs.admission import COME_BACK
-from godwitbank._internal.core.runs.adoption import Adoption
 from godwitbank._internal.core.runs.dispatcher import Dispatcher
 from godwitbank._internal.core.runs.events import (
     Answer,
@@ -18,6 +17,7 @@
 from godwitbank._internal.core.runs.forwarding import Forwarding
 from godwitbank._internal.core.runs.handover import Handover
 from godwitbank._internal.core.runs.links import Link
+from godwitbank._internal.core.runs.remote_callers import RemoteCallers
 from godwitbank._internal.core.runs.routes import RouteTable
 from godwitbank._internal.core.runs.work import Job
 from godwitbank._internal.models.jobs import JobEnd, JobResult
@@ -47,7 +47,7 @@
         self._forwarding = forwarding
         self._pressure = pressure
         self._counts = counts
-        self._adoption = Adoption()
+        self._adoption = RemoteCallers()
         self._now = 0.0
         self._out: Callable[[RunAction], None] = lambda action: None
 
@@ -79,7 +79,7 @@
             return
         if self._join(event):
             return
-        adopted = self._adoption.is_adopted(event.caller)
+        adopted = self._adoption.is_remote(event.caller)
         if not adopted and self._forwarding.try_forward(event):
             return
         if self._pressure.behind:
@@ -111,7 +111,7 @@
         known = self._dispatcher.jobs.get(name)
         if known is not None and not known.ending:
             return known
-        return self._handover.find(name)
+        return self._handover.find_waiting(name)
 
     def _refuse(self, event: JobSubmitted, reason: str) -> None:
         self._counts.add("jobs_refused", reason)
@@ -124,7 +124,7 @@
     def lose_caller(self, event: CallerGone) -> None:
         """Give up what only a caller who is gone waits for."""
         self._forwarding.lose_caller(event.caller)
-        self._handover.lose_caller(event.caller)
+        self._handover.handle_caller_loss(event.caller)
         for job in list(self._dispatcher.jobs.values()):
             if event.caller not in job.callers:
                 continue
@@ -141,7 +141,9 @@
 
     def hear_forward(self, link: Link, message: Forward) -> None:
         """Take a job of another entry's caller."""
-        self.submit(self._adoption.adopt(link.stream, message), message.acquired)
+        self.submit(
+            self._adoption.accept_forward(link.stream, message), message.acquired
+        )
 
     def hear_join(self, link: Link, message: Join) -> None:
         """Let a caller of another entry wait for a job, if it is here."""
@@ -154,11 +156,11 @@
             caller = self._adoption.add_caller(link.stream, name)
             self._forwarding.add_caller(name, caller)
         else:
-            self._handover.hear_join(link, name)
+            self._handover.handle_join(link, name)
 
     def hear_yielded(self, link: Link, message: Yielded) -> None:
         """Go on with a job that another entry doesn't have, or no longer."""
-        self._handover.hear_yielded(link, message)
+        self._handover.handle_yielded(link, message)
         self._forwarding.hear_yielded(link.stream, message.job)
 
     def hear_withdraw(self, link: Link, message: Withdraw) -> None:
@@ -174,4 +176,4 @@
 
     def route(self, actions: Iterable[RunAction]) -> list[RunAction]:
         """Turn answers to callers of other entries into messages."""
-        return self._adoption.route(actions)
+        return self._adoption.route_answers(actions)
--- a/src/godwitbank/_internal/core/runs/lives.py
+++ b/src/godwitbank/_internal/core/runs/liveness.py
@@ -6,7 +6,7 @@
 from godwitbank._internal.core.runs.lease import LIFE_SECONDS
 
 
-class Lives:
+class EntryLiveness:
     """Proofs of life of entries, on the clock of one agent.
 
     An entry's runs must not outlive it: its callers submit their jobs again elsewhere,
@@ -18,18 +18,18 @@
     def __init__(self) -> None:
         self._proved: dict[str, float] = {}
 
-    def prove(self, owner: str, at: float) -> None:
+    def record_alive(self, owner: str, at: float) -> None:
         """Note that an entry lived at a moment."""
         self._proved[owner] = max(at, self._proved.get(owner, -math.inf))
 
-    def keep(self, owners: Iterable[str]) -> None:
+    def retain(self, owners: Iterable[str]) -> None:
         """Forget all entries but some."""
         kept = set(owners)
         self._proved = {
             owner: at for owner, at in self._proved.items() if owner in kept
         }
 
-    def find_end(self, owners: Iterable[str]) -> float:
+    def find_lease_end(self, owners: Iterable[str]) -> float:
         """Tell when what runs for some entries must be over, without a new proof."""
         proofs = (self._proved.get(owner, -math.inf) for owner in owners)
         return min(proofs, default=math.inf) + LIFE_SECONDS
--- a/src/godwitbank/_internal/core/runs/ownership.py
+++ b/src/godwitbank/_internal/core/runs/ownership.py
@@ -12,154 +12,160 @@
 
 from godwitbank._internal.core.runs.lease import LAPSE_SECONDS
 
-REMEMBER_SECONDS = 12.0
+OWNERSHIP_RETENTION_SECONDS = 12.0
 """Seconds a taking and a lost peer are remembered; longer than callers wait (10 s)."""
 
-YIELD_SECONDS = 0.8
+YIELD_TIMEOUT_SECONDS = 0.8
 """Seconds the other entry has to answer; its agents stop runs in some 50 ms."""
 
-CLAIM_SECONDS = 0.05
+CLAIM_TIMEOUT_SECONDS = 0.05
 """Seconds agents have to answer a claim once all that lost entries ordered is over;
 those that live do at once. Longer waits for agents that are dark would make every job
 late while an entry is missing, too."""
 
 
-class Taking(NamedTuple):
+class Ownership(NamedTuple):
     """A peer took a job."""
 
     incarnation: str
     at: float
 
 
-class Loss(NamedTuple):
+class LostPeer(NamedTuple):
     """A peer that can't be reached, and that nobody is known to reach.
 
-    :param lived_at: by when it proved its life for the last time, if it is gone.
+    :param last_alive_at: by when it proved its life for the last time, if it is gone.
     :param confirmed: whether others that were asked can't reach it either.
     """
 
     address: str
-    lived_at: float
+    last_alive_at: float
     confirmed: bool
 
     @property
-    def over_at(self) -> float:
+    def runs_expire_at(self) -> float:
         """When nothing runs by its orders any more, if it is gone."""
-        return self.lived_at + LAPSE_SECONDS
+        return self.last_alive_at + LAPSE_SECONDS
 
 
-class Takings:
+class JobOwnership:
     """Jobs taken by peers, newest last."""
 
     def __init__(self) -> None:
-        self._jobs: OrderedDict[str, Taking] = OrderedDict()
-        self._lost: dict[str, Loss] = {}
+        self._jobs: OrderedDict[str, Ownership] = OrderedDict()
+        self._lost: dict[str, LostPeer] = {}
         self._missed: dict[str, float] = {}
-        self._settled: dict[str, Loss] = {}
+        self._settled: dict[str, LostPeer] = {}
 
-    def note(self, job: str, age: float, incarnation: str, now: float) -> None:
+    def record(self, job: str, age: float, incarnation: str, now: float) -> None:
         """Note what a peer took ``age`` seconds ago; the newest taking counts."""
         known = self._jobs.pop(job, None)
-        taking = Taking(incarnation, now - age)
+        taking = Ownership(incarnation, now - age)
         if known is not None and known.at > taking.at:
             taking = known
         self._jobs[job] = taking
         while self._jobs:
             oldest = next(iter(self._jobs))
-            if now - self._jobs[oldest].at < REMEMBER_SECONDS:
+            if now - self._jobs[oldest].at < OWNERSHIP_RETENTION_SECONDS:
                 break
             del self._jobs[oldest]
 
-    def lose(self, incarnation: str, address: str, lived_at: float) -> None:
+    def mark_lost(self, incarnation: str, address: str, lived_at: float) -> None:
         """Note that a peer's last stream ended."""
-        self._lost[incarnation] = Loss(address, lived_at, False)
+        self._lost[incarnation] = LostPeer(address, lived_at, False)
 
-    def lose_again(self, incarnation: str, now: float) -> None:
+    def mark_lost_again(self, incarnation: str, now: float) -> None:
         """Note that nobody who is known to reach a lost peer is left."""
         settled = self._settled.pop(incarnation, None)
         if settled is not None:
-            self._lost[incarnation] = settled._replace(lived_at=now)
+            self._lost[incarnation] = settled._replace(last_alive_at=now)
 
-    def hear_lost(self, incarnation: str, lived_at: float) -> None:
+    def update_last_alive(self, incarnation: str, lived_at: float) -> None:
         """Note by when a lost peer may have lived, as another entry knows."""
         loss = self._lost.get(incarnation)
-        if loss is not None and lived_at > loss.lived_at:
-            self._lost[incarnation] = loss._replace(lived_at=lived_at)
+        if loss is not None and lived_at > loss.last_alive_at:
+            self._lost[incarnation] = loss._replace(last_alive_at=lived_at)
 
-    def confirm(self, incarnation: str) -> None:
+    def confirm_lost(self, incarnation: str) -> None:
         """Note that others can't reach a lost peer either."""
         loss = self._lost.get(incarnation)
         if loss is not None:
             self._lost[incarnation] = loss._replace(confirmed=True)
 
-    def settle(self, incarnation: str, now: float) -> None:
+    def mark_indirectly_reachable(self, incarnation: str, now: float) -> None:
         """Note that another entry reaches a lost peer and passes on what it takes."""
         loss = self._lost.pop(incarnation, None)
         if loss is not None:
             self._settled[incarnation] = loss
-        lately = now - REMEMBER_SECONDS
+        lately = now - OWNERSHIP_RETENTION_SECONDS
         self._settled = {
-            each: loss for each, loss in self._settled.items() if loss.lived_at > lately
+            each: loss
+            for each, loss in self._settled.items()
+            if loss.last_alive_at > lately
         }
 
-    def miss(self, incarnation: str, now: float) -> None:
+    def record_unreachable(self, incarnation: str, now: float) -> None:
         """Note that others tell of a peer which can't be reached from here.
 
         What it had taken is known through them, so nothing needs to be guessed.
         """
-        lately = now - REMEMBER_SECONDS
+        lately = now - OWNERSHIP_RETENTION_SECONDS
         self._missed = {each: at for each, at in self._missed.items() if at > lately}
         self._missed.setdefault(incarnation, now)
 
-    def regain(self, incarnation: str) -> None:
+    def mark_connected(self, incarnation: str) -> None:
         """Note that a peer has told what it has taken, on a new stream."""
         self._lost.pop(incarnation, None)
         self._missed.pop(incarnation, None)
         self._settled.pop(incarnation, None)
 
-    def list_by_owner(self) -> dict[str, dict[str, Taking]]:
+    def list_by_owner(self) -> dict[str, dict[str, Ownership]]:
         """List what each peer took, by the peer's incarnation and the job."""
-        owned: dict[str, dict[str, Taking]] = {}
+        owned: dict[str, dict[str, Ownership]] = {}
         for job, taking in self._jobs.items():
             owned.setdefault(taking.incarnation, {})[job] = taking
         return owned
 
-    def is_blind(self, now: float, asks_agents: bool) -> bool:
+    def may_be_incomplete(self, now: float, queries_agents: bool) -> bool:
         """Tell whether a peer that was lost may have taken jobs unheard.
 
-        :param asks_agents: whether agents can tell, which is worth more than what other
-            entries say of a lost one.
+        :param queries_agents: whether agents can tell, which is worth more than what
+            other entries say of a lost one.
         """
-        lately = now - REMEMBER_SECONDS
+        lately = now - OWNERSHIP_RETENTION_SECONDS
         self._lost = {
             each: loss
             for each, loss in self._lost.items()
-            if loss.lived_at > lately
-            and (asks_agents or not loss.confirmed or now < loss.over_at)
+            if loss.last_alive_at > lately
+            and (queries_agents or not loss.confirmed or now < loss.runs_expire_at)
         }
         return bool(self._lost)
 
     @property
-    def confirmed(self) -> bool:
+    def all_losses_confirmed(self) -> bool:
         """Whether others can't reach any of the lost peers either."""
         return all(loss.confirmed for loss in self._lost.values())
 
-    def list_lost(self, now: float = -math.inf) -> set[str]:
+    def list_lost_addresses(self, now: float = -math.inf) -> set[str]:
         """List the addresses of lost peers whose orders may be in force after a time.
 
         :param now: by default all that were lost lately.
         """
-        return {loss.address for loss in self._lost.values() if loss.over_at > now}
+        return {
+            loss.address for loss in self._lost.values() if loss.runs_expire_at > now
+        }
 
-    def find_over(self) -> float:
+    def get_last_expiry(self) -> float:
         """Tell when nothing runs by the orders of lost peers any more."""
-        return max((loss.over_at for loss in self._lost.values()), default=-math.inf)
+        return max(
+            (loss.runs_expire_at for loss in self._lost.values()), default=-math.inf
+        )
 
-    def get(self, job: str) -> Taking | None:
+    def get(self, job: str) -> Ownership | None:
         """Find who took a job, and when."""
         return self._jobs.get(job)
 
-    def find(self, job: str) -> str:
+    def find_owner(self, job: str) -> str:
         """Find the incarnation of the peer that took a job, or an empty string."""
         taking = self._jobs.get(job)
         return taking.incarnation if taking else ""
@@ -168,9 +174,9 @@
         """Forget a job that its taker has given up."""
         self._jobs.pop(job, None)
 
-    def find_lapse(self, incarnation: str, now: float) -> float:
+    def get_expiry(self, incarnation: str, now: float) -> float:
         """Tell when the runs of a peer that can't be reached are gone."""
         for known in (self._lost, self._settled):
             if incarnation in known:
-                return known[incarnation].over_at
+                return known[incarnation].runs_expire_at
         return self._missed.setdefault(incarnation, now) + LAPSE_SECONDS
--- a/src/godwitbank/_internal/core/runs/tellings.py
+++ b/src/godwitbank/_internal/core/runs/ownership_announcements.py
@@ -5,17 +5,17 @@
 from godwitbank._internal.core.events import Send
 from godwitbank._internal.core.runs.events import RunAction
 from godwitbank._internal.core.runs.links import Links
-from godwitbank._internal.core.runs.ownership import Taking, Takings
+from godwitbank._internal.core.runs.ownership import JobOwnership, Ownership
 from godwitbank._internal.core.runs.work import Job
 from godwitbank._internal.models.run_messages import Took
 
-FEW_PEERS = 4
+MAX_IMMEDIATE_PEERS = 4
 """Other entries that are told at once of each job taken. Where there are more, they are
 told with the next proof of life: it is asked for only where a job's home is lost, and
 frames for each job to each entry would grow with the product."""
 
 
-class Tellings:
+class OwnershipAnnouncements:
     """Tells other entries of jobs: at once to few, together to many."""
 
     def __init__(self, links: Links) -> None:
@@ -23,14 +23,14 @@
         self._untold: dict[str, float] = {}
         self._out: Callable[[RunAction], None] = lambda action: None
 
-    def begin(self, out: Callable[[RunAction], None]) -> None:
+    def begin_event(self, out: Callable[[RunAction], None]) -> None:
         """Prepare for one event."""
         self._out = out
 
-    def tell(self, name: str, now: float) -> None:
+    def announce(self, name: str, now: float) -> None:
         """Tell of a job, or remember to."""
         peers = self._links.list_peers()
-        if len(peers) > FEW_PEERS:
+        if len(peers) > MAX_IMMEDIATE_PEERS:
             self._untold[name] = now
             return
         for link in peers:
@@ -40,7 +40,7 @@
         """Forget to tell of a job of which nothing is left."""
         self._untold.pop(name, None)
 
-    def tell_rest(self, now: float) -> None:
+    def announce_pending(self, now: float) -> None:
         """Tell of all jobs that were remembered."""
         if not self._untold:
             return
@@ -50,16 +50,18 @@
         for link in self._links.list_peers():
             self._out(Send(link.stream, took))
 
-    def tell_all(self, stream: int, jobs: Iterable[Job], now: float) -> None:
+    def announce_all(self, stream: int, jobs: Iterable[Job], now: float) -> None:
         """Tell a new stream of all jobs."""
         ages = {job.spec.job: now - job.arrival for job in jobs}
         self._out(Send(stream, Took(list(ages), list(ages.values()), "")))
 
-    def remind(self, stream: int, name: str, known: Taking, now: float) -> None:
+    def announce_previous_owner(
+        self, stream: int, name: str, known: Ownership, now: float
+    ) -> None:
         """Tell an entry that took a job who had it before: it may not know."""
         self._out(Send(stream, Took([name], [now - known.at], known.incarnation)))
 
-    def tell_grants(
+    def announce_grants(
         self, stream: int, granted: dict[str, dict[str, float]], now: float
     ) -> None:
         """Tell an entry which one may start each job that this one decided about."""
@@ -67,7 +69,9 @@
             ages = [now - at for at in jobs.values()]
             self._out(Send(stream, Took(list(jobs), ages, owner)))
 
-    def pass_on(self, stream: int, takings: Takings, now: float) -> None:
+    def announce_unreachable_owners(
+        self, stream: int, takings: JobOwnership, now: float
+    ) -> None:
         """Tell a new stream of the jobs of entries that may be gone.
 
         One that is gone behind a silent stream, and back at its address, tells nobody
--- a/src/godwitbank/_internal/core/runs/whereabouts.py
+++ b/src/godwitbank/_internal/core/runs/reachability.py
@@ -5,31 +5,31 @@
 
 from godwitbank._internal.core.events import Send
 from godwitbank._internal.core.runs.events import Note, RunAction
+from godwitbank._internal.core.runs.indirect_probes import IndirectProbes, ProbeRequests
 from godwitbank._internal.core.runs.links import SILENCE, Link, Links
-from godwitbank._internal.core.runs.ownership import Takings
-from godwitbank._internal.core.runs.witnesses import Testimony, Witnesses
+from godwitbank._internal.core.runs.ownership import JobOwnership
 from godwitbank._internal.models.messages import Message
 from godwitbank._internal.models.run_messages import Locate, Located, Took, Yield
 
-UNREACHED = "unreached "
+UNREACHED_PREFIX = "unreached "
 """Prefix of what an entry is known by that was never reached: it has no incarnation."""
 
 
-class Whereabouts:
+class PeerReachability:
     """Asks others for lost entries, and answers them."""
 
-    def __init__(self, links: Links, takings: Takings, rng: Random) -> None:
+    def __init__(self, links: Links, takings: JobOwnership, rng: Random) -> None:
         self._links = links
         self._takings = takings
-        self._witnesses = Witnesses(rng)
-        self._testimony = Testimony()
+        self._witnesses = IndirectProbes(rng)
+        self._testimony = ProbeRequests()
         self._lost: dict[str, str] = {}
         self._told_by: dict[str, int] = {}
         self._lived: dict[str, float] = {}
         self._now = 0.0
         self._out: Callable[[RunAction], None] = lambda action: None
 
-    def begin(self, now: float, out: Callable[[RunAction], None]) -> None:
+    def begin_event(self, now: float, out: Callable[[RunAction], None]) -> None:
         """Prepare for one event."""
         self._now = now
         self._out = out
@@ -39,7 +39,7 @@
 
     # As the one that has lost an entry
 
-    def ask(self, address: str, owner: str) -> None:
+    def probe(self, address: str, owner: str) -> None:
         """Ask others for an entry.
 
         :param owner: what it is known by among those that took jobs.
@@ -48,50 +48,50 @@
         peers = [
             link for link in self._links.list_peers() if link.hello.address != address
         ]
-        for link in self._witnesses.ask(address, peers):
+        for link in self._witnesses.start(address, peers):
             self._send(link.stream, Locate(address))
 
-    def hear_located(self, link: Link, message: Located) -> None:
+    def handle_located(self, link: Link, message: Located) -> None:
         """Take an answer."""
         address = message.address
         if message.reachable:
             self._told_by[message.incarnation] = link.stream
-        spoke_for = self._witnesses.is_reached_by(link.stream, address)
-        gone = self._witnesses.hear(link.stream, address, message.reachable)
+        spoke_for = self._witnesses.is_reachable_through(link.stream, address)
+        gone = self._witnesses.handle_answer(link.stream, address, message.reachable)
         owner = self._lost.get(address)
         if owner is None:
             return
         if message.reachable:
             self._hear_reached(owner, message)
-        elif not self._witnesses.is_reached(address):
+        elif not self._witnesses.is_reachable(address):
             self._hear_unreached(owner, message)
             if spoke_for:
                 self._ask_again(address)
         if gone or message.reachable:
             self._out(Note("peer_located", "", {"address": address, "gone": gone}))
         if gone:
-            self._takings.confirm(owner)
+            self._takings.confirm_lost(owner)
 
     def _hear_reached(self, owner: str, message: Located) -> None:
-        if owner in (message.incarnation, UNREACHED + message.address):
-            self._takings.settle(owner, self._now)
+        if owner in (message.incarnation, UNREACHED_PREFIX + message.address):
+            self._takings.mark_indirectly_reachable(owner, self._now)
             return
         # Another process answers at its address; the one that was lost is gone.
-        self._takings.confirm(owner)
+        self._takings.confirm_lost(owner)
 
     def _hear_unreached(self, owner: str, message: Located) -> None:
         self._told_by.pop(owner, None)
-        known = message.incarnation in ("", owner) or owner.startswith(UNREACHED)
+        known = message.incarnation in ("", owner) or owner.startswith(UNREACHED_PREFIX)
         if known and message.age >= 0:
-            self._takings.lose_again(owner, self._now - message.age)
-            self._takings.hear_lost(owner, self._now - message.age)
+            self._takings.mark_lost_again(owner, self._now - message.age)
+            self._takings.update_last_alive(owner, self._now - message.age)
 
     def _ask_again(self, address: str) -> None:
         owner = self._lost[address]
-        self._takings.lose_again(owner, self._now)
-        self.ask(address, owner)
+        self._takings.mark_lost_again(owner, self._now)
+        self.probe(address, owner)
 
-    def pass_yield(self, job: str, owner: str) -> bool:
+    def relay_yield(self, job: str, owner: str) -> bool:
         """Ask an entry out of reach to stop a job, by one that reaches it.
 
         :return: whether there is one.
@@ -102,26 +102,26 @@
         self._send(witness, Yield(job, owner))
         return True
 
-    def reaches(self, owner: str) -> bool:
+    def is_indirectly_reachable(self, owner: str) -> bool:
         """Tell whether an entry out of reach is reached by another one."""
         return owner in self._told_by
 
-    def list_ways(self) -> dict[str, int]:
+    def list_relay_streams(self) -> dict[str, int]:
         """List streams to entries that reach lost ones, by these ones' addresses."""
-        reached = self._witnesses.list_reached()
+        reached = self._witnesses.list_reachable()
         return {
             address: stream
             for address, stream in reached.items()
             if address in self._lost
         }
 
-    def regain(self, link: Link) -> str:
+    def mark_connected(self, link: Link) -> str:
         """Note that an entry is reached; returns what it was known by while lost."""
         self._witnesses.forget(link.hello.address)
         self._told_by.pop(link.hello.incarnation, None)
         lost = self._lost.pop(link.hello.address, "")
         # An earlier process at its address stays lost: its runs may live on.
-        return lost if lost.startswith(UNREACHED) else ""
+        return lost if lost.startswith(UNREACHED_PREFIX) else ""
 
     def drop_stream(self, stream: int) -> None:
         """Note that a stream to an entry ended; others are asked in its place."""
@@ -135,13 +135,13 @@
 
     # As the one that is asked
 
-    def hear_locate(self, link: Link, message: Locate) -> None:
+    def handle_locate(self, link: Link, message: Locate) -> None:
         """Note a question, and answer it at once if the entry is not reached.
 
         One that has been silent for as long as its agents wait is as good as lost;
         else all new jobs would wait until this entry has given it up, too.
         """
-        self._testimony.ask(message.address, link.stream, self._now)
+        self._testimony.add(message.address, link.stream, self._now)
         heard_at = [
             each.heard_at
             for each in self._links.list_peers()
@@ -157,23 +157,23 @@
         lived_at = self._lived.get(address)
         return -1.0 if lived_at is None else self._now - lived_at
 
-    def hear_peer(self, link: Link) -> None:
+    def handle_peer_alive(self, link: Link) -> None:
         """Note that an entry lives; tell those that asked, and what it has taken."""
         owner = link.hello.incarnation
-        for stream in self._testimony.hear(link.hello.address):
+        for stream in self._testimony.handle_alive(link.hello.address):
             self._send(stream, Located(link.hello.address, True, owner, 0.0))
             taken = self._takings.list_by_owner().get(owner, {})
             ages = [self._now - taking.at for taking in taken.values()]
             self._send(stream, Took(list(taken), ages, owner))
 
-    def pass_on(self, link: Link, message: Took) -> None:
+    def forward_ownership(self, link: Link, message: Took) -> None:
         """Tell those that can't reach an entry what it has taken."""
         owner = link.hello.incarnation
-        followers = self._testimony.list_followers(link.hello.address, self._now)
+        followers = self._testimony.list_subscribers(link.hello.address, self._now)
         for stream in followers:
             self._send(stream, Took(message.jobs, message.ages, owner))
 
-    def tell_lost(self, link: Link, lived_at: float) -> None:
+    def announce_lost(self, link: Link, lived_at: float) -> None:
         """Tell those that asked for an entry that it is lost here, too.
 
         :param lived_at: by when it proved its life for the last time.
@@ -181,5 +181,5 @@
         address = link.hello.address
         self._lived[address] = lived_at
         lost = Located(address, False, link.hello.incarnation, self._now - lived_at)
-        for stream in self._testimony.lose(address, self._now):
+        for stream in self._testimony.handle_loss(address, self._now):
             self._send(stream, lost)
--- a/src/godwitbank/_internal/core/runs/adoption.py
+++ b/src/godwitbank/_internal/core/runs/remote_callers.py
@@ -27,14 +27,14 @@
     job: str
 
 
-class Adoption:
+class RemoteCallers:
     """Callers of other entries, by the numbers they have here."""
 
     def __init__(self) -> None:
         self._origins: dict[int, Origin] = {}
         self._numbers = itertools.count(1)
 
-    def adopt(self, stream: int, message: Forward) -> JobSubmitted:
+    def accept_forward(self, stream: int, message: Forward) -> JobSubmitted:
         """Note a job's origin, and decode it."""
         caller = self.add_caller(stream, message.job)
         steps = tuple(_decode_step(fields) for fields in message.steps)
@@ -47,7 +47,7 @@
         self._origins[caller] = Origin(stream, job)
         return caller
 
-    def is_adopted(self, caller: int) -> bool:
+    def is_remote(self, caller: int) -> bool:
         """Tell whether a caller came to another entry."""
         return caller in self._origins
 
@@ -69,7 +69,7 @@
             del self._origins[caller]
         return [CallerGone(caller) for caller in callers]
 
-    def route(self, actions: Iterable[RunAction]) -> list[RunAction]:
+    def route_answers(self, actions: Iterable[RunAction]) -> list[RunAction]:
         """Turn answers to callers of other entries into messages."""
         routed: list[RunAction] = []
         for action in actions:
--- a/src/godwitbank/_internal/core/runs/runner.py
+++ b/src/godwitbank/_internal/core/runs/runner.py
@@ -26,7 +26,7 @@
     MIN_LEASE,
 )
 from godwitbank._internal.core.runs.links import Link, Links
-from godwitbank._internal.core.runs.lives import Lives
+from godwitbank._internal.core.runs.liveness import EntryLiveness
 from godwitbank._internal.core.runs.outbox import Outbox
 from godwitbank._internal.core.runs.progress import Sample, Slowness
 from godwitbank._internal.core.runs.verdicts import HoldVerdict, StartVerdict
@@ -86,7 +86,7 @@
         self._lose_endpoint = lose_endpoint
         self._booted_at = now
         self._claims = Claims()
-        self._lives = Lives()
+        self._lives = EntryLiveness()
         self._settled: OrderedDict[tuple[str, int], None] = OrderedDict()
         self._now = now
         self._out: list[RunAction] = []
@@ -114,16 +114,16 @@
     def prove_life(self, link: Link, at: float) -> None:
         """Note that an entry lived at a moment, on the clock of this agent."""
         link.proved_at = max(link.proved_at, at)
-        self._lives.prove(link.hello.incarnation, at)
+        self._lives.record_alive(link.hello.incarnation, at)
 
     def forget_lives(self) -> None:
         """Forget the proofs of life on which nothing depends any more."""
         linked = {link.hello.incarnation for link in self._links}
-        self._lives.keep(linked | set(self.shelf.owners))
+        self._lives.retain(linked | set(self.shelf.owners))
 
     def find_lease_end(self) -> float:
         """Tell when what runs here must be over, unless its entries are heard again."""
-        return self._lives.find_end(self.shelf.placed_owners)
+        return self._lives.find_lease_end(self.shelf.placed_owners)
 
     def list_owned(self, owner: str) -> list[str]:
         """List the tasks of which a run of an entry is held."""
@@ -235,7 +235,7 @@
     def claim(self, link: Link, claim: Claim) -> None:
         """Stop others' runs of a job whose caller came to the sender."""
         own = link.hello.incarnation
-        earlier = self._claims.find_earlier(claim.job, own, self._now)
+        earlier = self._claims.find_winner(claim.job, own, self._now)
         if earlier and self._links.find(earlier) is not None:
             self._send(link.stream, Claimed(claim.job, False, True))
             return
@@ -263,7 +263,9 @@
                     self._send(stream, Claimed(job, False, False))
             elif settled:
                 # Before, what a former agent started may still run.
-                self._send(self._claims.answer(job), Claimed(job, True, False))
+                self._send(
+                    self._claims.pop_answer_stream(job), Claimed(job, True, False)
+                )
 
     def hear_start(self, event: StartAnswered) -> None:
         """Take the endpoint's answer to an order to start."""
--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -240,7 +240,7 @@
     ),
     Break(
         "leases are granted however long ago entries lived",
-        f"{LEASED}/lives.py",
+        f"{LEASED}/liveness.py",
         "        return min(proofs, default=math.inf) + LIFE_SECONDS",
         "        return math.inf",
         f"{RUNS}/test_takeovers.py::"
@@ -257,8 +257,8 @@
     Break(
         "agents without an answer run nothing",
         f"{LEASED}/ownership.py",
-        "        return self.lived_at + LAPSE_SECONDS",
-        "        return self.lived_at",
+        "        return self.last_alive_at + LAPSE_SECONDS",
+        "        return self.last_alive_at",
         f"{RUNS}/test_takeovers.py::"
         "test_a_job_of_a_lost_entry_waits_though_nobody_can_tell_of_it",
     ),
@@ -273,7 +273,7 @@
     Break(
         "claims of one moment have no order",
         f"{LEASED}/claims.py",
-        "        if claimant is None or now - claimant.at > SAME_MOMENT:",
+        "        if claimant is None or now - claimant.at > SIMULTANEOUS_SECONDS:",
         "        if True:",
         f"{RUNS}/test_two_entries.py::"
         "test_agents_that_hear_claims_in_another_order_let_one_entry_start_the_job",
@@ -281,7 +281,7 @@
     Break(
         "a home that has just joined decides at once",
         f"{LEASED}/homes.py",
-        "        if route != HERE or self._is_informed():",
+        "        if route != LOCAL_ROUTE or self._is_informed():",
         "        if True:",
         f"{RUNS}/test_two_entries.py::"
         "test_a_home_that_has_just_joined_asks_the_one_before_it",
@@ -311,13 +311,13 @@
     Break(
         "nobody is asked for a lost entry",
         f"{LEASED}/handover.py",
-        "            self.whereabouts.ask(link.hello.address, owner)",
+        "            self.reachability.probe(link.hello.address, owner)",
         "            pass",
         f"{RUNS}/test_meeting.py::test_a_job_moves_past_a_cut_between_two_entries",
     ),
     Break(
         "what a cut-off entry takes isn't passed on",
-        f"{LEASED}/whereabouts.py",
+        f"{LEASED}/reachability.py",
         "            self._send(stream, Took(message.jobs, message.ages, owner))",
         "            pass",
         f"{RUNS}/test_meeting.py::test_a_job_moves_past_a_cut_between_two_entries",
@@ -339,7 +339,7 @@
     ),
     Break(
         "nobody is told what was taken",
-        f"{LEASED}/tellings.py",
+        f"{LEASED}/ownership_announcements.py",
         '            self._out(Send(link.stream, Took([name], [0.0], "")))',
         "            pass",
         f"{RUNS}/test_meeting.py::"
@@ -348,7 +348,8 @@
     Break(
         "late peers are not told what was taken",
         f"{LEASED}/handover.py",
-        "        self._tellings.tell_all(link.stream, self._list_taken(), self._now)",
+        "        self._tellings.announce_all"
+        "(link.stream, self._list_taken(), self._now)",
         "        pass",
         f"{RUNS}/test_meeting.py::"
         "test_a_job_whose_home_is_lost_is_known_by_what_its_entry_has_told",
@@ -411,7 +412,8 @@
     Break(
         "takings of lost entries are not passed on",
         f"{LEASED}/handover.py",
-        "        self._tellings.pass_on(link.stream, self._takings, self._now)\n",
+        "        self._tellings.announce_unreachable_owners(\n"
+        "            link.stream, self._takings, self._now\n        )\n",
         "",
         f"{RUNS}/test_failures.py::"
         "test_an_entry_killed_and_back_at_once_knows_what_it_had_taken",
--- a/tests/core/runs/test_homes.py
+++ b/tests/core/runs/test_homes.py
@@ -1,6 +1,10 @@
 """Who decides on a job, and what it remembers of that."""
 
-from godwitbank._internal.core.runs.homes import KEEP_SECONDS, Grants, choose_home
+from godwitbank._internal.core.runs.homes import (
+    GRANT_RETENTION_SECONDS,
+    Grants,
+    choose_home,
+)
 from godwitbank._internal.core.runs.links import SILENCE
 
 ENTRIES = tuple(f"10.0.{number}.1:7720" for number in range(12))
@@ -26,11 +30,11 @@
     grants.add("j1", "entry-0", 7, 100.0)
     grants.remove("j1", "entry-0", 6, 100.1)
     grants.remove("j1", "entry-0", 0, 100.1)
-    assert grants.find("j1") == "entry-0"
+    assert grants.find_owner("j1") == "entry-0"
     grants.remove("j1", "entry-1", 7, 100.1)
-    assert grants.find("j1") == "entry-0"
+    assert grants.find_owner("j1") == "entry-0"
     grants.remove("j1", "entry-0", 7, 100.1)
-    assert grants.find("j1") == ""
+    assert grants.find_owner("j1") == ""
 
 
 def test_a_grant_whose_release_was_lost_can_be_undone() -> None:
@@ -38,21 +42,21 @@
     grants = Grants()
     grants.add("j1", "entry-0", 7, 100.0)
     grants.remove("j1", "entry-0", 0, 100.0 + SILENCE + 0.1)
-    assert grants.find("j1") == ""
+    assert grants.find_owner("j1") == ""
 
 
 def test_a_job_taken_over_unasked_is_released_without_its_number() -> None:
     grants = Grants()
     grants.add("j1", "entry-0", 7, 100.0)
-    grants.move("j1", "entry-1", 100.1)
+    grants.transfer("j1", "entry-1", 100.1)
     grants.remove("j1", "entry-0", 7, 100.2)
-    assert grants.find("j1") == "entry-1"
+    assert grants.find_owner("j1") == "entry-1"
     grants.remove("j1", "entry-1", 0, 100.2)
-    assert grants.find("j1") == ""
+    assert grants.find_owner("j1") == ""
 
 
 def test_old_grants_are_forgotten() -> None:
     grants = Grants()
     grants.add("j1", "entry-0", 1, 100.0)
-    grants.add("j2", "entry-0", 2, 101.0 + KEEP_SECONDS)
-    assert grants.find("j1") == ""
+    grants.add("j2", "entry-0", 2, 101.0 + GRANT_RETENTION_SECONDS)
+    assert grants.find_owner("j1") == ""
--- a/tests/core/runs/test_lives.py
+++ b/tests/core/runs/test_liveness.py
@@ -10,39 +10,39 @@
     MAX_LEASE,
     EndpointClock,
 )
-from godwitbank._internal.core.runs.lives import Lives
+from godwitbank._internal.core.runs.liveness import EntryLiveness
 
 NOW = 100.0
 
 
 def test_the_oldest_proof_counts() -> None:
-    lives = Lives()
-    lives.prove("entry-0", NOW)
-    lives.prove("entry-1", NOW + 0.3)
-    assert lives.find_end(["entry-0", "entry-1"]) == NOW + LIFE_SECONDS
-    assert lives.find_end(["entry-1"]) == NOW + 0.3 + LIFE_SECONDS
+    lives = EntryLiveness()
+    lives.record_alive("entry-0", NOW)
+    lives.record_alive("entry-1", NOW + 0.3)
+    assert lives.find_lease_end(["entry-0", "entry-1"]) == NOW + LIFE_SECONDS
+    assert lives.find_lease_end(["entry-1"]) == NOW + 0.3 + LIFE_SECONDS
 
 
 def test_a_proof_that_was_held_up_takes_nothing_back() -> None:
-    lives = Lives()
-    lives.prove("entry-0", NOW)
-    lives.prove("entry-0", NOW - 0.5)
-    assert lives.find_end(["entry-0"]) == NOW + LIFE_SECONDS
+    lives = EntryLiveness()
+    lives.record_alive("entry-0", NOW)
+    lives.record_alive("entry-0", NOW - 0.5)
+    assert lives.find_lease_end(["entry-0"]) == NOW + LIFE_SECONDS
 
 
 def test_an_entry_that_was_never_heard_gets_no_lease() -> None:
-    assert Lives().find_end(["entry-0"]) == -math.inf
+    assert EntryLiveness().find_lease_end(["entry-0"]) == -math.inf
 
 
 def test_nothing_bounds_a_lease_under_which_nothing_runs() -> None:
-    assert Lives().find_end([]) == math.inf
+    assert EntryLiveness().find_lease_end([]) == math.inf
 
 
 def test_proofs_on_which_nothing_depends_are_forgotten() -> None:
-    lives = Lives()
-    lives.prove("entry-0", NOW)
-    lives.keep([])
-    assert lives.find_end(["entry-0"]) == -math.inf
+    lives = EntryLiveness()
+    lives.record_alive("entry-0", NOW)
+    lives.retain([])
+    assert lives.find_lease_end(["entry-0"]) == -math.inf
 
 
 @pytest.mark.parametrize("rate", [1 - CLOCK_SKEW, 1.0])
--- a/tests/core/runs/test_adoption.py
+++ b/tests/core/runs/test_remote_callers.py
@@ -1,8 +1,8 @@
 """Jobs of other entries' callers, as they come over a stream."""
 
 from godwitbank._internal.core.events import Send
-from godwitbank._internal.core.runs.adoption import Adoption
 from godwitbank._internal.core.runs.events import Answer
+from godwitbank._internal.core.runs.remote_callers import RemoteCallers
 from godwitbank._internal.models.jobs import JobEnd, JobResult, JobSpec, StepSpec
 from godwitbank._internal.models.resources import Resources
 from godwitbank._internal.models.run_messages import Forward, Forwarded
@@ -26,22 +26,24 @@
     sent = Forward(SPEC.job, SPEC.queue, SPEC.payload, steps, 1.5, False)
     received = decode(encode(sent)[LENGTH:])
     assert isinstance(received, Forward)
-    event = Adoption().adopt(7, received)
+    event = RemoteCallers().accept_forward(7, received)
     assert (event.spec, event.patience) == (SPEC, 1.5)
     assert event.caller < 0
 
 
 def test_answers_go_back_on_the_stream_that_the_job_came_by() -> None:
-    adoption = Adoption()
+    adoption = RemoteCallers()
     steps = [list(step) for step in SPEC.steps]
-    event = adoption.adopt(7, Forward(SPEC.job, SPEC.queue, "", steps, 1.5, False))
+    event = adoption.accept_forward(
+        7, Forward(SPEC.job, SPEC.queue, "", steps, 1.5, False)
+    )
     result = JobResult(SPEC.job, JobEnd.FAILED, "attempts", True)
     own = Answer(1, result)
-    (kept, sent) = adoption.route([own, Answer(event.caller, result)])
+    (kept, sent) = adoption.route_answers([own, Answer(event.caller, result)])
     assert kept is own
     assert isinstance(sent, Send)
     assert (sent.stream, sent.message) == (
         7,
         Forwarded(SPEC.job, "failed", "attempts", True, -1.0),
     )
-    assert adoption.route([Answer(event.caller, result)]) == []
+    assert adoption.route_answers([Answer(event.caller, result)]) == []
--- a/tests/core/runs/test_two_entries_exploration.py
+++ b/tests/core/runs/test_two_entries_exploration.py
@@ -14,7 +14,7 @@
 """Seconds between a job's two submissions."""
 
 
-class TwiceExplorer(SilenceExplorer):
+class DuplicateSubmissionExplorer(SilenceExplorer):
     """Explores jobs that are submitted at two entries, or twice at one."""
 
     def list_kinds(self) -> list[Callable[[], None]]:
@@ -48,4 +48,4 @@
     size: Size, seed: int
 ) -> None:
     """Guards against a task at two endpoints under random faults."""
-    explore(TwiceExplorer(seed, size=size))
+    explore(DuplicateSubmissionExplorer(seed, size=size))
