--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -16,7 +16,7 @@
 
 
 def _list_open(pool: Pool, now: float) -> list[AgentView]:
-    return [view for view in pool.views if pool.is_open(view, now)]
+    return [view for view in pool.views if pool.may_send_start(view, now)]
 
 
 def choose_random(pool: Pool, now: float, same_zone: bool) -> AgentView | None:
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -23,10 +23,10 @@
 from bench.policies import POLICIES, write_document
 from godwitbank._internal.core.catalog import Catalog
 from godwitbank._internal.core.events import RunEnded
-from godwitbank._internal.core.memory import Memory
 from godwitbank._internal.core.pool import AgentView, Pool
 from godwitbank._internal.core.queue import ServiceQueue
 from godwitbank._internal.core.service import Service
+from godwitbank._internal.core.task_history import TaskHistory
 from godwitbank._internal.core.work import Job
 from godwitbank._internal.models.messages import (
     Ending,
@@ -300,13 +300,13 @@
     return points
 
 
-def _fill_memory(count: int) -> Memory:
-    memory = Memory(max_records=10**9)
+def _fill_memory(count: int) -> TaskHistory:
+    memory = TaskHistory(max_records=10**9)
     for number in range(count):
         key = TaskKey(f"{number:032x}", number % 460, 1)
-        memory.start(key, 1.0, "entry", "", 0.0)
+        memory.record_start(key, 1.0, "entry", "", 0.0)
         ended = RunEnded(key, Ending.ANSWERED, 200, "application/json", b"{}", 0.1)
-        memory.finish(ended, "")
+        memory.record_end(ended, "")
         memory.acknowledge(key)
     return memory
 
@@ -346,7 +346,7 @@
             view = AgentView(f"10.0.0.1:{number}", 0.0)
             view.service = "desk"
             view.connect(number + 1, "i", 0.0, 0.0)
-            view.report(number % 8, 0)
+            view.update_free_slots(number % 8, 0)
             pool.views.append(view)
         began = time.perf_counter()
         for _ in range(200):
--- a/src/godwitbank/_internal/core/agent.py
+++ b/src/godwitbank/_internal/core/agent.py
@@ -5,6 +5,7 @@
 
 from godwitbank._internal.core.catalog import Catalog
 from godwitbank._internal.core.counters import Counts
+from godwitbank._internal.core.endpoint_lease import EndpointLease
 from godwitbank._internal.core.events import (
     Action,
     CloseStream,
@@ -23,9 +24,8 @@
 from godwitbank._internal.core.failure_rate import FailureRate
 from godwitbank._internal.core.grants import Grants
 from godwitbank._internal.core.identity import Identity, Timing
-from godwitbank._internal.core.memory import Memory, State
 from godwitbank._internal.core.parking import Parking
-from godwitbank._internal.core.tenancy import Tenancy
+from godwitbank._internal.core.task_history import RecordState, TaskHistory
 from godwitbank._internal.models.messages import (
     PROTOCOL_VERSION,
     Cancel,
@@ -57,7 +57,7 @@
 DEFAULT_PARKED = 1
 """Starts that may wait for a slot while no document says otherwise."""
 
-SETTLE_SECONDS = 2.0
+ACKNOWLEDGEMENT_TIMEOUT_SECONDS = 2.0
 """Longest wait for acknowledgements once a leaving agent has nothing running."""
 
 
@@ -82,9 +82,9 @@
         self.timing = timing
         self.counts = Counts()
         self.catalog = Catalog()
-        self.memory = Memory()
+        self.history = TaskHistory()
         self.running: dict[TaskKey, Start] = {}
-        self._tenancy = Tenancy(now)
+        self._endpoint_lease = EndpointLease(now)
         self._drained = False
         self._idle_since: float | None = None
         self._streams: dict[int, EntryStream] = {}
@@ -129,20 +129,20 @@
     @property
     def service(self) -> str:
         """Service of the endpoint; empty while there is none."""
-        return self._tenancy.service
+        return self._endpoint_lease.service
 
     @property
     def leaving(self) -> bool:
         """Whether nothing new is started."""
-        return self._tenancy.leaving
+        return self._endpoint_lease.leaving
 
     @property
     def slots(self) -> int:
         """Tasks that may run at once: the endpoint's word and the document's."""
         held = self.catalog.find(self.service)
         if held is None:
-            return self._tenancy.slots
-        return min(self._tenancy.slots, held.document.endpoint.slots)
+            return self._endpoint_lease.slots
+        return min(self._endpoint_lease.slots, held.document.endpoint.slots)
 
     @property
     def next_wakeup(self) -> float:
@@ -162,7 +162,7 @@
             "running": len(self.running),
             "parked": len(self._parking),
             "leaving": self.leaving,
-            "remembered": len(self.memory),
+            "remembered": len(self.history),
             "entries": self.list_entries(),
             "revisions": self.catalog.list_revisions(),
         }
@@ -216,7 +216,7 @@
     def _fence(self, stream: int, start: Start) -> None:
         entry = self._streams.get(stream)
         incarnation = entry.hello.incarnation if entry else ""
-        self.memory.fence(start.key, start.start_by, incarnation)
+        self.history.fence(start.key, start.start_by, incarnation)
 
     def _receive(self, event: Received) -> None:
         entry = self._streams.get(event.stream)
@@ -233,15 +233,15 @@
     # Starts
 
     def _start(self, entry: EntryStream, start: Start) -> None:
-        self._grants.use(entry.stream)
-        record = self.memory.find(start.key)
-        if record is not None and record.state is not State.FENCED:
+        self._grants.record_start(entry.stream)
+        record = self.history.find(start.key)
+        if record is not None and record.state is not RecordState.FENCED:
             self._answer_duplicate(entry, start, record.attempt)
             return
         if start.key in self._parking:
             self.counts.add("starts_ignored", "duplicate")
             return
-        if start.request_id and self.memory.has_request(start.request_id):
+        if start.request_id and self.history.has_request(start.request_id):
             # The claim should have stopped this; as the last gate, don't run it.
             self.counts.add("starts_ignored", "request_seen")
             self._send(entry.stream, Resolved(start.key, Verdict.UNKNOWN))
@@ -268,7 +268,7 @@
     def _find_refusal(self, start: Start) -> Refusal | None:
         if start.incarnation != self.identity.incarnation:
             return Refusal.WRONG_INCARNATION
-        if self.memory.is_fenced(start.key):
+        if self.history.is_fenced(start.key):
             return Refusal.FENCED
         if self._now > start.start_by:
             # This process or its stream was frozen: the entry may long have
@@ -278,7 +278,7 @@
             return Refusal.LEAVING
         if not self.service:
             return Refusal.NO_ENDPOINT
-        if self._tenancy.is_lapsed(self._now):
+        if self._endpoint_lease.is_lapsed(self._now):
             return Refusal.LAPSED
         if start.service != self.service:
             return Refusal.WRONG_SERVICE
@@ -295,14 +295,14 @@
     def _refuse(self, stream: int, start: Start, reason: Refusal) -> None:
         self.counts.add("starts_refused", reason)
         self._fence(stream, start)
-        told = self._grants.tell(stream, self._count_free())
+        told = self._grants.announce(stream, self._count_free())
         seen = self._grants.count_seen(stream)
         self._send(stream, Refused(start.key, reason, told, seen))
 
     def _run(self, stream: int, start: Start) -> None:
         entry = self._streams.get(stream)
         incarnation = entry.hello.incarnation if entry else ""
-        self.memory.start(
+        self.history.record_start(
             start.key, start.start_by, incarnation, start.request_id, self._now
         )
         self.running[start.key] = start
@@ -324,7 +324,7 @@
         self.counts.add("runs_ended", event.ending)
         failed = event.ending != Ending.ANSWERED
         self._failures.add(event.key.submission, failed, self._now)
-        record = self.memory.finish(event, start.request_id)
+        record = self.history.record_end(event, start.request_id)
         self._start_parked()
         if record is not None:
             self._report(record.entry, event)
@@ -348,7 +348,7 @@
             return
         entry = self._streams[stream]
         entry.unacknowledged.append(event.key)
-        told = self._grants.tell(stream, self._count_free())
+        told = self._grants.announce(stream, self._count_free())
         seen = self._grants.count_seen(stream)
         self._send(
             stream,
@@ -379,20 +379,20 @@
             # would run after the entry was told that it never will.
             if self._parking.take(question.key) is not None:
                 self._tell_loads()
-            verdict = self.memory.resolve(
+            verdict = self.history.resolve(
                 question.key, question.start_by, entry.hello.incarnation
             )
         self.counts.add("resolved", verdict)
         self._send(entry.stream, Resolved(question.key, verdict))
         if verdict is Verdict.FINISHED:
-            record = self.memory.find(question.key)
+            record = self.history.find(question.key)
             if record is not None and record.ending is not None:
                 self._report(entry.hello.incarnation, record.ending)
 
     # Load
 
     def _count_free(self) -> int:
-        if not self._tenancy.is_open(self._now):
+        if not self._endpoint_lease.accepts_work(self._now):
             return 0
         return self.slots - len(self.running) - len(self._parking)
 
@@ -410,7 +410,7 @@
     # Endpoint
 
     def _announce(self, event: EndpointAnnounced) -> None:
-        if self._tenancy.announce(event, self._now):
+        if self._endpoint_lease.handle_announcement(event, self._now):
             self.counts.add("endpoint_announced")
             self._tell_endpoint()
         self._start_parked()
@@ -418,24 +418,24 @@
 
     def _leave(self, event: EndpointLeft) -> None:
         del event
-        self._tenancy.leave()
+        self._endpoint_lease.record_departure()
         self._begin_leaving("endpoint")
 
     def _drain(self, entry: EntryStream, drain: Drain) -> None:
         del entry, drain
-        self._tenancy.drain()
+        self._endpoint_lease.request_drain()
         self._begin_leaving("operator")
 
     def _stop(self, event: StopRequested) -> None:
         del event
-        self._tenancy.stopping = True
+        self._endpoint_lease.stopping = True
         self._begin_leaving("stop")
         self._check_drained()
 
     def _begin_leaving(self, reason: str) -> None:
         if self.leaving:
             return
-        self._tenancy.leaving = True
+        self._endpoint_lease.leaving = True
         self.counts.add("leaving", reason)
         self._tell_endpoint()
         while self._parking:
@@ -444,7 +444,7 @@
         self._tell_loads()
 
     def _describe_endpoint(self) -> EndpointState:
-        service = "" if self._tenancy.is_lapsed(self._now) else self.service
+        service = "" if self._endpoint_lease.is_lapsed(self._now) else self.service
         return EndpointState(service, self.slots, self.leaving)
 
     def _tell_endpoint(self) -> None:
@@ -452,12 +452,12 @@
             self._send(stream, self._describe_endpoint())
 
     def _check_drained(self) -> None:
-        if not self._tenancy.stopping or self.running or self._drained:
+        if not self._endpoint_lease.stopping or self.running or self._drained:
             return
         if self._idle_since is None:
             self._idle_since = self._now
         waiting = any(entry.unacknowledged for entry in self._streams.values())
-        if waiting and self._now - self._idle_since < SETTLE_SECONDS:
+        if waiting and self._now - self._idle_since < ACKNOWLEDGEMENT_TIMEOUT_SECONDS:
             return
         self._drained = True
         for stream in self._streams:
@@ -488,7 +488,7 @@
     # Heartbeats
 
     def _make_heartbeat(self, stream: int) -> Heartbeat:
-        told = self._grants.tell(stream, self._count_free())
+        told = self._grants.announce(stream, self._count_free())
         return Heartbeat(
             self._now,
             self.catalog.digest,
@@ -501,14 +501,14 @@
     def _hear_heartbeat(self, entry: EntryStream, heartbeat: Heartbeat) -> None:
         done = heartbeat.acknowledged
         while entry.unacknowledged and done > 0:
-            self.memory.acknowledge(entry.unacknowledged.popleft())
+            self.history.acknowledge(entry.unacknowledged.popleft())
             done -= 1
         if heartbeat.digest != self.catalog.digest:
             self._send(entry.stream, Revisions(self._list_held()))
         self._check_drained()
 
     def _recall(self, entry: EntryStream, recall: Recall) -> None:
-        verdict, ending = self.memory.recall(recall.request_id)
+        verdict, ending = self.history.recall(recall.request_id)
         if ending is None:
             ending = RunEnded(TaskKey("", 0, 0), "", 0, "", b"", 0.0)
         self._send(
@@ -526,7 +526,7 @@
 
     def _tick(self, event: Tick) -> None:
         del event
-        if self._tenancy.lapse(self._now):
+        if self._endpoint_lease.end_if_lapsed(self._now):
             self.counts.add("endpoint_lapsed")
             self._tell_endpoint()
             self._tell_loads()
@@ -537,7 +537,7 @@
                 self._close(StreamClosed(entry.stream))
         if self._now >= self._next_heartbeat:
             self._next_heartbeat = self._now + self.timing.heartbeat
-            self.memory.expire(self._now)
+            self.history.expire(self._now)
             for stream in self._streams:
                 self._send(stream, self._make_heartbeat(stream))
         self._check_drained()
--- a/src/godwitbank/_internal/core/announcements.py
+++ b/src/godwitbank/_internal/core/announcements.py
@@ -1,6 +1,6 @@
 """Where an agent announces itself next."""
 
-BALANCER_PERIOD = 5.0
+BALANCER_PERIOD_SECONDS = 5.0
 """Seconds between looks through the balancer while entries are connected."""
 
 
@@ -16,18 +16,18 @@
         self._known: set[str] = set()
         self._balancer_at = float("-inf")
 
-    def learn(self, entries: list[str]) -> None:
+    def add_entries(self, entries: list[str]) -> None:
         """Note the entries another process named."""
         self._known.update(entries)
 
-    def forget(self, entry: str) -> None:
+    def remove_entry(self, entry: str) -> None:
         """Note that an entry could not be reached."""
         self._known.discard(entry)
 
-    def choose(self, connected: list[str], now: float) -> list[str]:
+    def choose_targets(self, connected: list[str], now: float) -> list[str]:
         """Choose the addresses to announce to now."""
         targets = sorted(self._known.difference(connected))
-        due = now - self._balancer_at >= BALANCER_PERIOD
+        due = now - self._balancer_at >= BALANCER_PERIOD_SECONDS
         if due or not connected:
             self._balancer_at = now
             targets.append(self._balancer)
--- a/src/godwitbank/_internal/core/catalog.py
+++ b/src/godwitbank/_internal/core/catalog.py
@@ -8,7 +8,7 @@
 from godwitbank._internal.models.document import ServiceDocument
 
 
-class Held(NamedTuple):
+class InstalledDocument(NamedTuple):
     """A document in force in this process."""
 
     revision: int
@@ -20,7 +20,7 @@
     """Documents in force, by service."""
 
     def __init__(self) -> None:
-        self._held: dict[str, Held] = {}
+        self._held: dict[str, InstalledDocument] = {}
         self.digest = 0
 
     def install(self, service: str, revision: int, text: str) -> bool:
@@ -40,11 +40,11 @@
             # Only checked documents are accepted, so this one was written by a
             # newer version; keep the one that is understood.
             return False
-        self._held[service] = Held(revision, text, parsed.unwrap())
+        self._held[service] = InstalledDocument(revision, text, parsed.unwrap())
         self.digest = self._sum_up()
         return True
 
-    def find(self, service: str) -> Held | None:
+    def find(self, service: str) -> InstalledDocument | None:
         """Find the document in force for a service."""
         return self._held.get(service)
 
@@ -52,7 +52,7 @@
         """List the revision in force for each service."""
         return {service: held.revision for service, held in self._held.items()}
 
-    def list_newer(self, than: dict[str, int]) -> list[tuple[str, Held]]:
+    def list_newer(self, than: dict[str, int]) -> list[tuple[str, InstalledDocument]]:
         """List what is newer here than in another process."""
         return [
             (service, held)
--- a/src/godwitbank/_internal/core/claims.py
+++ b/src/godwitbank/_internal/core/claims.py
@@ -8,19 +8,19 @@
 from collections import OrderedDict
 from typing import NamedTuple
 
-MAX_BATCH = 200
+MAX_BATCH_CLAIMS = 200
 """Claims in one transaction."""
 
-MAX_REMEMBERED = 20_000
+MAX_REMEMBERED_TOKENS = 20_000
 """Tokens remembered as held here or as abandoned here."""
 
-FAILURES_TO_REFUSE = 2
+FAILURES_BEFORE_REFUSAL = 2
 """Writes without an answer, in a row, after which new claims are refused."""
 
 WRITES_PER_SECOND = 300.0
 """Claim writes that all entries together may make of the table's several hundred."""
 
-RETRY_DELAY = 0.1
+RETRY_DELAY_SECONDS = 0.1
 """Seconds before a batch without an answer is sent again."""
 
 
@@ -29,7 +29,7 @@
 
     key: str
     token: str
-    asked_at: float
+    requested_at: float
 
 
 class Batch(NamedTuple):
@@ -61,7 +61,7 @@
         """Find the token that holds a key as far as this entry knows."""
         return self._held.get(key)
 
-    def ask(self, key: str, token: str, now: float) -> None:
+    def request(self, key: str, token: str, now: float) -> None:
         """Queue a claim; the key is held here from now on."""
         self._waiting[key] = Claim(key, token, now)
         self._remember(self._held, key, token)
@@ -80,7 +80,7 @@
         if not self._waiting or now < self._next_at:
             return None
         self._next_at = now + entries / WRITES_PER_SECOND
-        keys = list(self._waiting)[:MAX_BATCH]
+        keys = list(self._waiting)[:MAX_BATCH_CLAIMS]
         claims = {key: self._waiting.pop(key).token for key in keys}
         supersedes = {
             key: self._abandoned[key] for key in claims if key in self._abandoned
@@ -89,7 +89,7 @@
         self._batch = Batch(self._number, claims, supersedes)
         return self._batch
 
-    def settle(self, number: int, lost: dict[str, str]) -> dict[str, bool]:
+    def resolve(self, number: int, lost: dict[str, str]) -> dict[str, bool]:
         """Note a committed batch.
 
         :param lost: keys held by others with the holder's token.
@@ -109,10 +109,10 @@
         self._failures = 0
         return results
 
-    def fail(self, number: int, now: float) -> None:
+    def mark_unanswered(self, number: int, now: float) -> None:
         """Note that a batch got no answer; it is sent again as it was."""
         if self._batch is not None and self._batch.number == number:
-            self._retry_at = now + RETRY_DELAY
+            self._retry_at = now + RETRY_DELAY_SECONDS
             self._failures += 1
 
     def abandon(self, key: str, token: str) -> None:
@@ -126,7 +126,7 @@
     @property
     def failing(self) -> bool:
         """Whether the table has failed more than once in a row."""
-        return self._failures >= FAILURES_TO_REFUSE
+        return self._failures >= FAILURES_BEFORE_REFUSAL
 
     @property
     def next_write(self) -> float:
@@ -139,5 +139,5 @@
     def _remember(where: OrderedDict[str, str], key: str, token: str) -> None:
         where[key] = token
         where.move_to_end(key)
-        if len(where) > MAX_REMEMBERED:
+        if len(where) > MAX_REMEMBERED_TOKENS:
             where.popitem(last=False)
--- a/src/godwitbank/_internal/core/dispatch.py
+++ b/src/godwitbank/_internal/core/dispatch.py
@@ -18,7 +18,7 @@
     WriteClaims,
 )
 from godwitbank._internal.core.identity import Timing
-from godwitbank._internal.core.pool import AgentView, Sent
+from godwitbank._internal.core.pool import AgentView, OutstandingStart
 from godwitbank._internal.core.recalls import Recalls
 from godwitbank._internal.core.service import Service
 from godwitbank._internal.core.work import Job, Task, TaskState
@@ -44,10 +44,10 @@
 )
 from godwitbank._internal.models.tasks import Submission
 
-DESERTED_SECONDS = 3.0
+NO_AGENT_TIMEOUT_SECONDS = 3.0
 """Seconds without any usable agent after which waiting work is given up."""
 
-COME_BACK = 1.0
+RETRY_AFTER_SECONDS = 1.0
 """Seconds after which a caller may ask again when nothing better is known."""
 
 _ENDINGS = {
@@ -76,7 +76,7 @@
         self._out: Callable[[Action], None] = lambda action: None
         self._now = 0.0
 
-    def begin(self, now: float, out: Callable[[Action], None]) -> None:
+    def begin_event(self, now: float, out: Callable[[Action], None]) -> None:
         """Set the time and the sink of actions for the event being handled."""
         self._now = now
         self._out = out
@@ -110,17 +110,20 @@
             detail = f"no document for service {submission.service!r}"
             self._refuse(submission.submission, Reason.UNKNOWN_SERVICE, detail, None)
             return
-        refusal = service.check(submission, self._now)
+        refusal = service.check_admission(submission, self._now)
         if refusal is not None:
             self._refuse(submission.submission, *refusal)
             return
         if self._needs_claim(service, submission) and self.claims.failing:
             detail = "request ids can't be claimed while the table is down"
             self._refuse(
-                submission.submission, Reason.STORE_UNAVAILABLE, detail, COME_BACK
+                submission.submission,
+                Reason.STORE_UNAVAILABLE,
+                detail,
+                RETRY_AFTER_SECONDS,
             )
             return
-        job = Job(submission, self._now, service.rank(submission, self._now))
+        job = Job(submission, self._now, service.compute_rank(submission, self._now))
         self.jobs[job.submission] = job
         heapq.heappush(self._deadlines, (job.deadline, job.submission))
         self._counts.add("submissions")
@@ -155,7 +158,7 @@
             return
         task.state = TaskState.CLAIMING
         task.claim = f"{task.job.submission}:{task.index}"
-        self.claims.ask(key, task.claim, self._now)
+        self.claims.request(key, task.claim, self._now)
 
     # Claims
 
@@ -165,9 +168,9 @@
             self._counts.add("claim_writes")
             self._out(WriteClaims(*batch))
 
-    def settle_claims(self, event: ClaimsWritten) -> None:
+    def resolve_claims(self, event: ClaimsWritten) -> None:
         """Queue the tasks whose claim was won; ask about the others."""
-        for token, won in self.claims.settle(event.batch, event.lost).items():
+        for token, won in self.claims.resolve(event.batch, event.lost).items():
             submission, _, index = token.rpartition(":")
             job = self.jobs.get(submission)
             task = job.tasks[int(index)] if job else None
@@ -189,16 +192,16 @@
         if won and token in event.written:
             self._out(ReleaseClaims({event.written[token]: token}))
 
-    def fail_claims(self, event: ClaimsFailed) -> None:
+    def handle_claims_failure(self, event: ClaimsFailed) -> None:
         """Give up what waits for a table that doesn't answer."""
         self._counts.add("claim_writes_failed")
-        self.claims.fail(event.batch, self._now)
+        self.claims.mark_unanswered(event.batch, self._now)
         if not self.claims.failing:
             return
         for job in list(self.jobs.values()):
             if any(task.state is TaskState.CLAIMING for task in job.tasks):
                 detail = "request ids can't be claimed while the table is down"
-                self._fail(job, Reason.STORE_UNAVAILABLE, detail, COME_BACK)
+                self._fail(job, Reason.STORE_UNAVAILABLE, detail, RETRY_AFTER_SECONDS)
 
     def _recall(self, task: Task) -> None:
         task.state = TaskState.RECALLING
@@ -206,17 +209,19 @@
         service = self.services[task.job.service]
         streams = [view.stream for view in service.pool.views if view.stream]
         key = make_claim_key(task.job.service, task.spec.request_id)
-        deadline = self._recalls.ask(key, task, len(streams), self._now)
+        deadline = self._recalls.request(key, task, len(streams), self._now)
         heapq.heappush(self._deadlines, (deadline, task.job.submission))
         for stream in streams:
             self._out(Send(stream, Recall(task.job.service, task.spec.request_id)))
         if not streams:
             self._give_up_recall(task, running=False)
 
-    def hear_recalled(self, recalled: Recalled) -> None:
+    def handle_recalled(self, recalled: Recalled) -> None:
         """Use an agent's memory of a request that was claimed before."""
         key = make_claim_key(recalled.service, recalled.request_id)
-        for task, running, settled in self._recalls.hear(key, recalled.verdict):
+        for task, running, settled in self._recalls.handle_answer(
+            key, recalled.verdict
+        ):
             if task.state is not TaskState.RECALLING:
                 continue
             if recalled.verdict == Verdict.FINISHED:
@@ -228,7 +233,7 @@
     def _give_up_recall(self, task: Task, running: bool) -> None:
         detail = f"request id {task.spec.request_id!r} was submitted before"
         detail += " and is still running" if running else ""
-        after = COME_BACK if running else None
+        after = RETRY_AFTER_SECONDS if running else None
         self._fail(task.job, Reason.DUPLICATE_REQUEST, detail, after, task, True)
 
     # Starts
@@ -258,8 +263,10 @@
         timeout = min(table.timeout_seconds, max(left, 0.001))
         key = task.begin_attempt()
         start_by = view.clock + self._timing.start_window
-        view.outstanding[key] = Sent(task, start_by, self._now, view.incarnation)
-        view.note_sent()
+        view.outstanding[key] = OutstandingStart(
+            task, start_by, self._now, view.incarnation
+        )
+        view.count_sent_start()
         task.job.started += 1
         self._counts.add("starts_sent")
         request_id = "" if table.idempotent else task.spec.request_id
@@ -282,24 +289,26 @@
     def _tell_wants(self, service: Service) -> None:
         waiting = service.queue.waiting
         rank = (service.queue.find_rank() or 0.0) if waiting else 0.0
-        if not service.wants.is_due(waiting, rank, self._now):
+        if not service.announced_demand.is_due(waiting, rank, self._now):
             return
-        service.wants.note(waiting, rank, self._now)
+        service.announced_demand.record(waiting, rank, self._now)
         for view in service.pool.views:
             if view.stream is not None and view.demand.is_stale(
                 waiting, rank, self._now
             ):
-                view.demand.note(waiting, rank, self._now)
+                view.demand.record(waiting, rank, self._now)
                 self._counts.add("wants_sent")
                 self._out(Send(view.stream, Want(waiting, rank - self._now)))
 
     # Answers
 
-    def _take_sent(self, view: AgentView, message: Finished | Refused) -> Sent | None:
-        view.report(message.free, message.seen)
+    def _take_sent(
+        self, view: AgentView, message: Finished | Refused
+    ) -> OutstandingStart | None:
+        view.update_free_slots(message.free, message.seen)
         return view.outstanding.pop(message.key, None)
 
-    def hear_finished(self, view: AgentView, message: Finished) -> None:
+    def handle_finished(self, view: AgentView, message: Finished) -> None:
         """Join an answer to its job."""
         view.acknowledged += 1
         sent = self._take_sent(view, message)
@@ -315,7 +324,9 @@
         if service is not None:
             self.dispatch(service)
 
-    def _judge(self, view: AgentView, sent: Sent, message: Finished) -> None:
+    def _judge(
+        self, view: AgentView, sent: OutstandingStart, message: Finished
+    ) -> None:
         service = self.services[sent.task.job.service]
         failed = message.ending != Ending.ANSWERED
         class_name = sent.task.spec.class_name
@@ -323,9 +334,9 @@
         view.failures.add(message.key.submission, failed, self._now)
         if not failed:
             view.observe_run(message.run_time, mean)
-            service.observe(class_name, message.run_time)
+            service.observe_run_time(class_name, message.run_time)
         if view.probing and self._now >= view.ejected_until:
-            if failed or message.run_time > mean * SLOW_PROBE:
+            if failed or message.run_time > mean * SLOW_PROBE_FACTOR:
                 ejection.eject(view, self._now)
             else:
                 ejection.reinstate(view)
@@ -333,9 +344,9 @@
         elif failed:
             # Crawling is judged at heartbeats; looking at every peer after
             # every answer took a third of the core's time.
-            self.judge(view, service)
+            self.eject_if_unhealthy(view, service)
 
-    def judge(self, view: AgentView, service: Service) -> None:
+    def eject_if_unhealthy(self, view: AgentView, service: Service) -> None:
         """Eject an agent that stands out from its peers."""
         reason = ejection.find_reason(view, service.pool, self._now)
         if reason is not None:
@@ -350,13 +361,13 @@
             self._fail(job, reason, detail, None, task, True)
             return
         answer = TaskAnswer(message.status, message.content_type, message.body)
-        if job.answer(task, answer):
+        if job.add_answer(task, answer):
             answers = tuple(each for each in job.answers if each is not None)
             del self.jobs[job.submission]
             self._counts.add("submissions_completed")
             self._out(Reply(Complete(job.submission, answers)))
 
-    def hear_refused(self, view: AgentView, message: Refused) -> None:
+    def handle_refused(self, view: AgentView, message: Refused) -> None:
         """Queue a task again that its agent did not start."""
         sent = self._take_sent(view, message)
         self._counts.add("starts_returned", message.reason)
@@ -377,11 +388,11 @@
         service.queue.add(task, front=True)
         if task.refusals > service.document.classes[task.spec.class_name].retries:
             detail = f"agents refused the task {task.refusals} times"
-            self._fail(job, Reason.RETRIES_EXHAUSTED, detail, COME_BACK, task)
+            self._fail(job, Reason.RETRIES_EXHAUSTED, detail, RETRY_AFTER_SECONDS, task)
             return
         self.dispatch(service)
 
-    def hear_resolved(self, view: AgentView, message: Resolved) -> None:
+    def handle_resolved(self, view: AgentView, message: Resolved) -> None:
         """Act on what an agent says of a start that was in doubt."""
         self._counts.add("resolved", message.verdict)
         if message.verdict in (Verdict.RUNNING, Verdict.FINISHED):
@@ -392,9 +403,9 @@
         if message.verdict == Verdict.FENCED:
             self._requeue(sent.task)
         else:
-            self.lose(sent, "the agent no longer knows the task")
+            self.mark_outcome_unknown(sent, "the agent no longer knows the task")
 
-    def lose(self, sent: Sent, detail: str) -> None:
+    def mark_outcome_unknown(self, sent: OutstandingStart, detail: str) -> None:
         """Give up a task whose outcome can't be learnt."""
         if sent.task.state is TaskState.SENT:
             self._counts.add("tasks_lost")
@@ -460,7 +471,7 @@
         if job is not None:
             self._fail(job, Reason.CANCELLED, "the caller hung up", None)
 
-    def check_times(self) -> None:
+    def check_timers(self) -> None:
         """Act on deadlines, retries and services without agents."""
         while self._deadlines and self._deadlines[0][0] <= self._now:
             _, submission = heapq.heappop(self._deadlines)
@@ -474,9 +485,9 @@
     def _check_deadline(self, job: Job) -> None:
         if job.deadline <= self._now:
             detail = "no answer before the deadline"
-            self._fail(job, Reason.DEADLINE_PASSED, detail, COME_BACK)
+            self._fail(job, Reason.DEADLINE_PASSED, detail, RETRY_AFTER_SECONDS)
             return
-        for task in self._recalls.list_expired(job, self._now):
+        for task in self._recalls.take_expired(job, self._now):
             self._give_up_recall(task, running=False)
 
     def _check_deserted(self, service: Service) -> None:
@@ -485,16 +496,16 @@
             return
         if service.without_agents_since is None:
             service.without_agents_since = self._now
-        if self._now - service.without_agents_since < DESERTED_SECONDS:
+        if self._now - service.without_agents_since < NO_AGENT_TIMEOUT_SECONDS:
             return
         for job in list(self.jobs.values()):
             waits = any(task.state is TaskState.WAITING for task in job.tasks)
             if waits and self.services[job.service] is service:
                 detail = "every endpoint of the service is gone"
-                self._fail(job, Reason.NO_ENDPOINT, detail, COME_BACK)
+                self._fail(job, Reason.NO_ENDPOINT, detail, RETRY_AFTER_SECONDS)
 
 
-SLOW_PROBE = 4.0
+SLOW_PROBE_FACTOR = 4.0
 """How many times its class's mean a probe may run before it counts as slow."""
 
 
--- a/src/godwitbank/_internal/core/ejection.py
+++ b/src/godwitbank/_internal/core/ejection.py
@@ -9,10 +9,10 @@
 
 from godwitbank._internal.core.pool import AgentView, Pool
 
-MIN_RATE = 0.5
+MIN_FAILURE_RATE = 0.5
 """Failure share below which nobody is ejected."""
 
-PEER_FACTOR = 3.0
+PEER_RATE_FACTOR = 3.0
 """How many times its peers' median rate an endpoint must fail."""
 
 MAX_EJECTED_SHARE = 0.34
@@ -27,16 +27,16 @@
 MIN_RUNS = 8
 """Runs below which slowness is not judged."""
 
-FIRST_EJECTION = 10.0
-MAX_EJECTION = 60.0
+FIRST_EJECTION_SECONDS = 10.0
+MAX_EJECTION_SECONDS = 60.0
 """Seconds out of rotation: doubles from the first to the longest."""
 
 
 def find_reason(view: AgentView, pool: Pool, now: float) -> str | None:
     """Say why an agent should be ejected, or ``None``."""
-    rate = measure_rate(view, now)
+    rate = measure_failure_rate(view, now)
     slow = view.runs >= MIN_RUNS and view.slowness > SUSPECT_LOG_RATIO
-    if view.ejected_until > 0 or (rate < MIN_RATE and not slow):
+    if view.ejected_until > 0 or (rate < MIN_FAILURE_RATE and not slow):
         return None
     peers = [each for each in pool.views if each is not view and each.service]
     if not peers:
@@ -44,8 +44,8 @@
     ejected = sum(each.ejected_until > 0 for each in peers)
     if (ejected + 1) > max(MAX_EJECTED_SHARE * (len(peers) + 1), 1):
         return None
-    peer_rate = median(measure_rate(each, now) for each in peers)
-    if rate >= MIN_RATE and rate > PEER_FACTOR * peer_rate:
+    peer_rate = median(measure_failure_rate(each, now) for each in peers)
+    if rate >= MIN_FAILURE_RATE and rate > PEER_RATE_FACTOR * peer_rate:
         return "failing"
     if slow:
         peer_slowness = median(each.slowness for each in peers)
@@ -54,14 +54,14 @@
     return None
 
 
-def measure_rate(view: AgentView, now: float) -> float:
+def measure_failure_rate(view: AgentView, now: float) -> float:
     """Tell an agent's failure share as seen here and as it says itself."""
     return max(view.failures.measure(now), view.reported_failure_rate)
 
 
 def eject(view: AgentView, now: float) -> None:
     """Take an agent out of rotation."""
-    length = min(FIRST_EJECTION * 2**view.ejections, MAX_EJECTION)
+    length = min(FIRST_EJECTION_SECONDS * 2**view.ejections, MAX_EJECTION_SECONDS)
     view.ejected_until = now + length
     view.ejections += 1
     view.probing = True
--- a/src/godwitbank/_internal/core/tenancy.py
+++ b/src/godwitbank/_internal/core/endpoint_lease.py
@@ -3,7 +3,7 @@
 from godwitbank._internal.core.events import EndpointAnnounced
 
 
-class Tenancy:
+class EndpointLease:
     """Whether an endpoint is there, and whether it may be given work."""
 
     def __init__(self, now: float) -> None:
@@ -16,7 +16,7 @@
         self._left_instance = ""
         self._drain_asked = False
 
-    def announce(self, event: EndpointAnnounced, now: float) -> bool:
+    def handle_announcement(self, event: EndpointAnnounced, now: float) -> bool:
         """Take an announcement or renewal.
 
         :return: whether entries have to be told.
@@ -44,21 +44,21 @@
         """
         return now > self._lease_until
 
-    def is_open(self, now: float) -> bool:
+    def accepts_work(self, now: float) -> bool:
         """Tell whether new work may start."""
         return bool(self.service) and not self.leaving and not self.is_lapsed(now)
 
-    def lapse(self, now: float) -> bool:
+    def end_if_lapsed(self, now: float) -> bool:
         """Forget an endpoint whose lease has ended; tells whether it did."""
         if self.service and self.is_lapsed(now):
             self.service = ""
             return True
         return False
 
-    def leave(self) -> None:
+    def record_departure(self) -> None:
         """Note the endpoint's own goodbye; another instance may come later."""
         self._left_instance = self._instance
 
-    def drain(self) -> None:
+    def request_drain(self) -> None:
         """Note an operator's wish, which outlives the endpoint's instance."""
         self._drain_asked = True
--- a/src/godwitbank/_internal/core/entry.py
+++ b/src/godwitbank/_internal/core/entry.py
@@ -8,7 +8,7 @@
 from godwitbank._internal.core.dispatch import Dispatcher
 from godwitbank._internal.core.events import (
     Action,
-    CallerLeft,
+    CallerDisconnected,
     ClaimsFailed,
     ClaimsWritten,
     CloseStream,
@@ -19,13 +19,13 @@
     StreamClosed,
     StreamOpened,
     Submitted,
-    TableSeen,
+    TableRead,
     Tick,
 )
 from godwitbank._internal.core.identity import Identity, Timing, make_hello
 from godwitbank._internal.core.membership import FORGET_SECONDS, Membership
 from godwitbank._internal.core.peers import PeerView
-from godwitbank._internal.core.pool import AgentView, ToldDemand
+from godwitbank._internal.core.pool import AgentView, AnnouncedDemand
 from godwitbank._internal.core.service import PeerBacklog
 from godwitbank._internal.models.messages import (
     PROTOCOL_VERSION,
@@ -49,10 +49,10 @@
     Welcome,
 )
 
-DOUBT_SECONDS = 6.0
+RECONNECT_TIMEOUT_SECONDS = 6.0
 """Seconds an unreachable agent has to come back before its tasks are lost."""
 
-LONE_SECONDS = 1.0
+BOOT_LISTEN_SECONDS = 1.0
 """Seconds a booting entry listens for newer revisions before it serves."""
 
 
@@ -74,7 +74,7 @@
         self.dispatcher = Dispatcher(
             self.catalog, self.counts, timing, rng, identity.zone
         )
-        self.members = Membership(identity, balancer, self.counts, now)
+        self.membership = Membership(identity, balancer, self.counts, now)
         self._inbound: dict[int, Hello] = {}
         self._booted_at = now
         self._table_seen = False
@@ -85,24 +85,24 @@
         self._handlers: dict[type, Callable] = {
             Received: self._receive,
             Submitted: lambda event: self.dispatcher.submit(event.submission),
-            CallerLeft: lambda event: self.dispatcher.cancel(event.submission),
-            ClaimsWritten: lambda event: self.dispatcher.settle_claims(event),
-            ClaimsFailed: lambda event: self.dispatcher.fail_claims(event),
+            CallerDisconnected: lambda event: self.dispatcher.cancel(event.submission),
+            ClaimsWritten: lambda event: self.dispatcher.resolve_claims(event),
+            ClaimsFailed: lambda event: self.dispatcher.handle_claims_failure(event),
             StreamOpened: self._open,
             StreamClosed: self._close,
             DocumentRead: self._read_document,
-            TableSeen: self._see_table,
+            TableRead: self._see_table,
             DrainRequested: self._drain,
             Tick: self._tick,
         }
         self._agent_receivers: dict[type, Callable] = {
-            Finished: self.dispatcher.hear_finished,
-            Refused: self.dispatcher.hear_refused,
-            Resolved: self.dispatcher.hear_resolved,
+            Finished: self.dispatcher.handle_finished,
+            Refused: self.dispatcher.handle_refused,
+            Resolved: self.dispatcher.handle_resolved,
             Load: self._hear_load,
             Heartbeat: self._hear_agent,
             EndpointState: self._hear_endpoint,
-            Recalled: lambda view, message: self.dispatcher.hear_recalled(message),
+            Recalled: lambda view, message: self.dispatcher.handle_recalled(message),
             Revisions: self._compare,
             Document: self._hear_document,
             Peers: self._hear_peers,
@@ -121,8 +121,8 @@
         """Take one event and return what has to be done."""
         self._now = now
         self._out = []
-        self.dispatcher.begin(now, self._out.append)
-        self.members.begin(now, self._out.append)
+        self.dispatcher.begin_event(now, self._out.append)
+        self.membership.begin_event(now, self._out.append)
         self._handlers[type(event)](event)
         return self._out
 
@@ -140,7 +140,7 @@
         arrived: serving on an old document would revert an accepted one.
         """
         informed = self._table_seen or self._informed
-        return informed and self._now - self._booted_at >= LONE_SECONDS
+        return informed and self._now - self._booted_at >= BOOT_LISTEN_SECONDS
 
     # Streams
 
@@ -160,28 +160,28 @@
         self._inbound[stream] = hello
         self._send(stream, make_hello(self.identity, Role.ENTRY))
         if hello.role == Role.AGENT:
-            self.members.learn_agent(hello.address)
-            self._send(stream, Peers(self.members.list_entries(), []))
+            self.membership.record_agent(hello.address)
+            self._send(stream, Peers(self.membership.list_entries(), []))
             return
         if hello.address != self.identity.address:
-            self.members.learn_peer(hello.address)
-        known = [view.address for view in self.members.agents.values()]
-        self._send(stream, Peers(self.members.list_entries(), known))
+            self.membership.record_peer(hello.address)
+        known = [view.address for view in self.membership.agents.values()]
+        self._send(stream, Peers(self.membership.list_entries(), known))
         self._send(stream, Revisions(self._list_held()))
 
     def _open_agent(self, event: StreamOpened, welcome: Welcome) -> None:
-        view = self.members.agents.get(event.address)
+        view = self.membership.agents.get(event.address)
         if view is None:
             self._out.append(CloseStream(event.stream, "forgotten"))
             return
         if view.stream is not None:
             self._out.append(CloseStream(view.stream, "replaced"))
-            self.members.agent_streams.pop(view.stream, None)
+            self.membership.agent_streams.pop(view.stream, None)
         same = view.incarnation == welcome.incarnation
         view.process = welcome.process
         view.zone = welcome.zone
         view.connect(event.stream, welcome.incarnation, welcome.clock, self._now)
-        self.members.agent_streams[event.stream] = view
+        self.membership.agent_streams[event.stream] = view
         self.counts.add("streams_opened", Role.AGENT)
         if same:
             self._resolve(view)
@@ -199,43 +199,43 @@
         outstanding = list(view.outstanding.values())
         view.outstanding.clear()
         for sent in outstanding:
-            self.dispatcher.lose(sent, detail)
+            self.dispatcher.mark_outcome_unknown(sent, detail)
 
     def _open_peer(self, stream: int, address: str, hello: Hello) -> None:
         if hello.incarnation == self.identity.incarnation:
             # The balancer led back to this very process.
             self._out.append(CloseStream(stream, "self"))
             return
-        if self.members.is_balancer(address):
-            self.members.learn_peer(hello.address)
+        if self.membership.is_balancer(address):
+            self.membership.record_peer(hello.address)
             self._out.append(CloseStream(stream, "found"))
             return
-        peer = self.members.peers.setdefault(address, PeerView(address, self._now))
+        peer = self.membership.peers.setdefault(address, PeerView(address, self._now))
         peer.connect(stream, hello.process, self._now)
-        self.members.peer_streams[stream] = peer
+        self.membership.peer_streams[stream] = peer
         self.counts.add("streams_opened", Role.ENTRY)
         self._send(stream, Revisions(self._list_held()))
 
     def _close(self, event: StreamClosed) -> None:
         self._inbound.pop(event.stream, None)
-        view = self.members.agent_streams.pop(event.stream, None)
+        view = self.membership.agent_streams.pop(event.stream, None)
         if view is not None and view.stream == event.stream:
             view.disconnect(self._now)
             self.counts.add("streams_lost", Role.AGENT)
-            self.members.dial_agents()
+            self.membership.dial_agents()
             return
-        peer = self.members.peer_streams.pop(event.stream, None)
+        peer = self.membership.peer_streams.pop(event.stream, None)
         if peer is not None:
             peer.disconnect(self._now)
             self.counts.add("streams_lost", Role.ENTRY)
             return
         if event.stream:
             return
-        self.members.note_failed_dial(event.address)
+        self.membership.record_failed_dial(event.address)
 
     def _receive(self, event: Received) -> None:
         message = event.message
-        view = self.members.agent_streams.get(event.stream)
+        view = self.membership.agent_streams.get(event.stream)
         if view is not None:
             view.heard_at = self._now
             receiver = self._agent_receivers.get(type(message))
@@ -244,7 +244,7 @@
                 return
             receiver(view, message)
             return
-        peer = self.members.peer_streams.get(event.stream)
+        peer = self.membership.peer_streams.get(event.stream)
         if peer is not None:
             peer.heard_at = self._now
             receiver = self._peer_receivers.get(type(message))
@@ -281,9 +281,9 @@
     def _hear_peers(self, view: AgentView | PeerView, message: Peers) -> None:
         del view
         for address in message.entries:
-            self.members.learn_peer(str(address))
+            self.membership.record_peer(str(address))
         for address in message.agents:
-            self.members.learn_agent(str(address))
+            self.membership.record_agent(str(address))
 
     def _hear_endpoint(self, view: AgentView, state: EndpointState) -> None:
         if view.service != state.service:
@@ -301,25 +301,25 @@
             return
         if view not in service.pool.views:
             service.pool.views.append(view)
-        service.wants = ToldDemand()
+        service.announced_demand = AnnouncedDemand()
         self.dispatcher.dispatch(service)
 
     def _hear_load(self, view: AgentView, load: Load) -> None:
-        view.report(load.free, load.seen)
+        view.update_free_slots(load.free, load.seen)
         service = self.dispatcher.services.get(view.service)
         if service is not None:
             self.dispatcher.dispatch(service)
 
     def _hear_agent(self, view: AgentView, heartbeat: Heartbeat) -> None:
         view.set_clock(heartbeat.clock, self._now)
-        view.report(heartbeat.free, heartbeat.seen)
+        view.update_free_slots(heartbeat.free, heartbeat.seen)
         view.reported_failure_rate = heartbeat.failure_rate
         self._informed = True
         if view.stream is not None:
             self._answer_digest(view.stream, heartbeat)
         service = self.dispatcher.services.get(view.service)
         if service is not None:
-            self.dispatcher.judge(view, service)
+            self.dispatcher.eject_if_unhealthy(view, service)
             self.dispatcher.dispatch(service)
 
     def _hear_goodbye(self, view: AgentView | PeerView, message: Goodbye) -> None:
@@ -339,10 +339,10 @@
         if service is not None:
             backlog = PeerBacklog(load.backlog, self._now)
             service.peer_backlogs[process] = backlog
-            service.quota.hear(process, load.demand, self._now)
+            service.quota.update_peer_demand(process, load.demand, self._now)
 
     def _drain(self, event: DrainRequested) -> None:
-        for view in self.members.agents.values():
+        for view in self.membership.agents.values():
             if view.process == event.agent and view.stream is not None:
                 self._send(view.stream, Drain(event.operator))
 
@@ -355,7 +355,7 @@
     def _read_document(self, event: DocumentRead) -> None:
         self._install(event.service, event.revision, event.text)
 
-    def _see_table(self, event: TableSeen) -> None:
+    def _see_table(self, event: TableRead) -> None:
         del event
         self._table_seen = True
 
@@ -373,11 +373,11 @@
             return
         self.counts.add("documents_installed")
         self.dispatcher.configure(service)
-        for view in self.members.agents.values():
+        for view in self.membership.agents.values():
             if view.service == service:
                 self._join_pool(view)
         document = Document(service, revision, text)
-        for stream in [*self.members.agent_streams, *self.members.peer_streams]:
+        for stream in [*self.membership.agent_streams, *self.membership.peer_streams]:
             self._send(stream, document)
 
     def _compare(self, view: AgentView | PeerView, revisions: Revisions) -> None:
@@ -398,7 +398,7 @@
         return view.revisions
 
     def _answer_digest(self, stream: int, heartbeat: Heartbeat) -> None:
-        view = self.members.find(stream)
+        view = self.membership.find_by_stream(stream)
         if view is not None:
             view.digest = heartbeat.digest
         if heartbeat.digest != self.catalog.digest:
@@ -408,22 +408,22 @@
 
     def _tick(self, event: Tick) -> None:
         del event
-        self.dispatcher.entries = len(self.members.list_entries())
-        self.dispatcher.check_times()
+        self.dispatcher.entries = len(self.membership.list_entries())
+        self.dispatcher.check_timers()
         if self._now < self._next_heartbeat:
             return
         self._next_heartbeat = self._now + self.timing.heartbeat
         self._check_silence()
         self._forget()
-        self.members.dial_agents()
-        self.members.dial_peers()
-        self.members.search()
+        self.membership.dial_agents()
+        self.membership.dial_peers()
+        self.membership.discover_entries()
         self._send_heartbeats()
         self.dispatcher.dispatch_all()
 
     def _check_silence(self) -> None:
-        views: list[AgentView | PeerView] = list(self.members.agent_streams.values())
-        views += self.members.peer_streams.values()
+        views: list[AgentView | PeerView] = list(self.membership.agent_streams.values())
+        views += self.membership.peer_streams.values()
         for view in views:
             if self._now - view.heard_at > self.timing.silence:
                 stream = view.stream or 0
@@ -432,24 +432,24 @@
                 self._close(StreamClosed(stream))
 
     def _forget(self) -> None:
-        for view in list(self.members.agents.values()):
+        for view in list(self.membership.agents.values()):
             lost_for = self._now - (view.lost_at or view.heard_at)
             if view.stream is not None:
                 continue
-            if lost_for > DOUBT_SECONDS and view.outstanding:
+            if lost_for > RECONNECT_TIMEOUT_SECONDS and view.outstanding:
                 self._lose_outstanding(view, "the agent can't be reached")
             if lost_for > FORGET_SECONDS:
                 service = self.dispatcher.services.get(view.service)
                 if service is not None and view in service.pool.views:
                     service.pool.views.remove(view)
-                del self.members.agents[view.address]
-        self.members.forget_peers()
+                del self.membership.agents[view.address]
+        self.membership.forget_peers()
 
     def _send_heartbeats(self) -> None:
-        for stream, view in self.members.agent_streams.items():
+        for stream, view in self.membership.agent_streams.items():
             self._send(stream, self._make_heartbeat(view.acknowledged))
             view.acknowledged = 0
-        for stream in self.members.peer_streams:
+        for stream in self.membership.peer_streams:
             self._send(stream, self._make_heartbeat(0))
             for name, service in self.dispatcher.services.items():
                 backlog = service.queue.measure_backlog()
--- a/src/godwitbank/_internal/core/events.py
+++ b/src/godwitbank/_internal/core/events.py
@@ -42,7 +42,7 @@
     submission: Submission
 
 
-class CallerLeft(NamedTuple):
+class CallerDisconnected(NamedTuple):
     """A caller hung up before its answer."""
 
     submission: str
@@ -74,7 +74,7 @@
     text: str
 
 
-class TableSeen(NamedTuple):
+class TableRead(NamedTuple):
     """A whole read of the table's revisions succeeded."""
 
 
--- a/src/godwitbank/_internal/core/failure_rate.py
+++ b/src/godwitbank/_internal/core/failure_rate.py
@@ -3,10 +3,10 @@
 from collections import OrderedDict
 from typing import NamedTuple
 
-WINDOW = 20
+WINDOW_SUBMISSIONS = 20
 """Submissions that count as recent."""
 
-MAX_AGE = 10.0
+MAX_VOTE_AGE_SECONDS = 10.0
 """Seconds after which a vote no longer counts."""
 
 MIN_SAMPLES = 4
@@ -50,12 +50,15 @@
             failed = failed or previous.failed
         self._votes[submission] = Vote(failed, now)
         self._failed += failed
-        if len(self._votes) > WINDOW:
+        if len(self._votes) > WINDOW_SUBMISSIONS:
             self._drop_oldest()
 
     def measure(self, now: float) -> float:
         """Tell the share that failed, or 0 while there are too few votes."""
-        while self._votes and next(iter(self._votes.values())).at + MAX_AGE < now:
+        while (
+            self._votes
+            and next(iter(self._votes.values())).at + MAX_VOTE_AGE_SECONDS < now
+        ):
             self._drop_oldest()
         if len(self._votes) < MIN_SAMPLES:
             return 0.0
--- a/src/godwitbank/_internal/core/grants.py
+++ b/src/godwitbank/_internal/core/grants.py
@@ -19,13 +19,13 @@
     rank: float
 
 
-class Share:
+class EntryShare:
     """What one entry was told, as the agent knows it."""
 
-    __slots__ = ("told", "seen", "demand")
+    __slots__ = ("announced", "seen", "demand")
 
     def __init__(self) -> None:
-        self.told = 0
+        self.announced = 0
         self.seen = 0
         self.demand = Demand(0, 0.0)
 
@@ -34,11 +34,11 @@
     """Divides free slots among the entries connected to one agent."""
 
     def __init__(self) -> None:
-        self._shares: dict[int, Share] = {}
+        self._shares: dict[int, EntryShare] = {}
 
     def add(self, stream: int) -> None:
         """Begin to count an entry's stream."""
-        self._shares[stream] = Share()
+        self._shares[stream] = EntryShare()
 
     def remove(self, stream: int) -> None:
         """Stop counting an entry's stream."""
@@ -48,10 +48,10 @@
         """Note what an entry has waiting."""
         self._shares[stream].demand = Demand(count, rank)
 
-    def use(self, stream: int) -> None:
+    def record_start(self, stream: int) -> None:
         """Note that a start arrived from an entry."""
         share = self._shares[stream]
-        share.told -= 1
+        share.announced -= 1
         share.seen += 1
         if share.demand.waiting > 0:
             share.demand = Demand(share.demand.waiting - 1, share.demand.rank)
@@ -76,13 +76,13 @@
             allowed[stream] = allowed.get(stream, 0) + left
         return allowed
 
-    def tell(self, stream: int, free: int) -> int:
+    def announce(self, stream: int, free: int) -> int:
         """Decide and note what one entry is told in a frame sent anyway."""
         share = self._shares.get(stream)
         if share is None:
             return 0
-        share.told = self.divide(free)[stream]
-        return share.told
+        share.announced = self.divide(free)[stream]
+        return share.announced
 
     def list_changes(self, free: int) -> list[tuple[int, int]]:
         """List the streams whose view is wrong enough to need a message.
@@ -94,11 +94,11 @@
         changes = []
         for stream, allowed in self.divide(free).items():
             share = self._shares[stream]
-            collides = allowed <= 0 < share.told
-            idles = share.told <= 0 < allowed or (
-                share.demand.waiting > 0 and share.told < allowed
+            collides = allowed <= 0 < share.announced
+            idles = share.announced <= 0 < allowed or (
+                share.demand.waiting > 0 and share.announced < allowed
             )
             if collides or idles:
-                share.told = allowed
+                share.announced = allowed
                 changes.append((stream, allowed))
         return changes
--- a/src/godwitbank/_internal/core/membership.py
+++ b/src/godwitbank/_internal/core/membership.py
@@ -12,8 +12,8 @@
 from godwitbank._internal.core.peers import PeerView
 from godwitbank._internal.core.pool import AgentView
 
-SEARCH_ALONE = 0.5
-SEARCH_SECONDS = 10.0
+DISCOVERY_ALONE_SECONDS = 0.5
+DISCOVERY_SECONDS = 10.0
 """Seconds between looks through the balancer, alone and in company."""
 
 FORGET_SECONDS = 60.0
@@ -37,7 +37,7 @@
         self._out: Callable[[Action], None] = lambda action: None
         self._now = now
 
-    def begin(self, now: float, out: Callable[[Action], None]) -> None:
+    def begin_event(self, now: float, out: Callable[[Action], None]) -> None:
         """Set the time and the sink of actions for the event being handled."""
         self._now = now
         self._out = out
@@ -46,7 +46,7 @@
         """Tell whether an address is the balancer's and not a process's."""
         return address == self._balancer
 
-    def find(self, stream: int) -> AgentView | PeerView | None:
+    def find_by_stream(self, stream: int) -> AgentView | PeerView | None:
         """Find who is at the other end of a stream that was dialled."""
         return self.agent_streams.get(stream) or self.peer_streams.get(stream)
 
@@ -55,7 +55,7 @@
         connected = [peer.address for peer in self.peers.values() if peer.stream]
         return [self._identity.address, *connected]
 
-    def learn_agent(self, address: str) -> None:
+    def record_agent(self, address: str) -> None:
         """Note that an agent is there, and dial it."""
         view = self.agents.get(address)
         if view is None:
@@ -66,7 +66,7 @@
             view.dial_at = self._now
         self.dial_agents()
 
-    def learn_peer(self, address: str) -> None:
+    def record_peer(self, address: str) -> None:
         """Note that another entry is there, and dial it."""
         if address in (self._identity.address, "") or address in self.peers:
             return
@@ -89,13 +89,13 @@
             view.dialling = True
             self._out(Dial(view.address))
 
-    def note_failed_dial(self, address: str) -> None:
+    def record_failed_dial(self, address: str) -> None:
         """Wait longer before the next dial to an address."""
         view = self.agents.get(address) or self.peers.get(address)
         if view is not None:
             view.postpone_dial(self._now)
 
-    def search(self) -> None:
+    def discover_entries(self) -> None:
         """Look for entries through the balancer, rarely.
 
         Once one is connected the rest follow from it, so a rare look is enough
@@ -104,7 +104,9 @@
         if not self._balancer or self._now < self._next_search:
             return
         alone = not any(peer.stream for peer in self.peers.values())
-        self._next_search = self._now + (SEARCH_ALONE if alone else SEARCH_SECONDS)
+        self._next_search = self._now + (
+            DISCOVERY_ALONE_SECONDS if alone else DISCOVERY_SECONDS
+        )
         self._out(Dial(self._balancer))
 
     def forget_peers(self) -> None:
--- a/src/godwitbank/_internal/core/peers.py
+++ b/src/godwitbank/_internal/core/peers.py
@@ -1,6 +1,9 @@
 """Other entries, as one entry sees them."""
 
-from godwitbank._internal.core.pool import FIRST_DIAL_DELAY, MAX_DIAL_DELAY
+from godwitbank._internal.core.pool import (
+    FIRST_DIAL_DELAY_SECONDS,
+    MAX_DIAL_DELAY_SECONDS,
+)
 
 
 class PeerView:
@@ -13,7 +16,7 @@
         self.heard_at = now
         self.dialling = False
         self.dial_at = now
-        self.dial_delay = FIRST_DIAL_DELAY
+        self.dial_delay = FIRST_DIAL_DELAY_SECONDS
         self.revisions: dict[str, int] = {}
         self.digest = 0
 
@@ -23,15 +26,15 @@
         self.process = process
         self.heard_at = now
         self.dialling = False
-        self.dial_delay = FIRST_DIAL_DELAY
+        self.dial_delay = FIRST_DIAL_DELAY_SECONDS
 
     def disconnect(self, now: float) -> None:
         """Note that the stream is gone."""
         self.stream = None
-        self.dial_at = now + FIRST_DIAL_DELAY
+        self.dial_at = now + FIRST_DIAL_DELAY_SECONDS
 
     def postpone_dial(self, now: float) -> None:
         """Note a failed dial."""
         self.dialling = False
         self.dial_at = now + self.dial_delay
-        self.dial_delay = min(self.dial_delay * 2, MAX_DIAL_DELAY)
+        self.dial_delay = min(self.dial_delay * 2, MAX_DIAL_DELAY_SECONDS)
--- a/src/godwitbank/_internal/core/pool.py
+++ b/src/godwitbank/_internal/core/pool.py
@@ -7,22 +7,22 @@
 from godwitbank._internal.core.work import Task
 from godwitbank._internal.models.tasks import TaskKey
 
-MAX_DIAL_DELAY = 2.0
-FIRST_DIAL_DELAY = 0.1
-URGENT_SECONDS = 0.02
+MAX_DIAL_DELAY_SECONDS = 2.0
+FIRST_DIAL_DELAY_SECONDS = 0.1
+MIN_RANK_CHANGE_SECONDS = 0.02
 """Change of rank below which no agent is told."""
 
-CALM_SECONDS = 0.05
+MIN_ANNOUNCEMENT_INTERVAL_SECONDS = 0.05
 """Shortest time between two words to one agent about less urgent work."""
 
-CHANGED_SHARE = 0.5
+MIN_CHANGE_SHARE = 0.5
 """Share by which waiting work must change before an agent is told again."""
 
 SLOWNESS_WEIGHT = 0.15
 """Weight of the newest run time in an agent's slowness."""
 
 
-class Sent:
+class OutstandingStart:
     """A start on its way or running, as its entry knows it."""
 
     __slots__ = ("task", "start_by", "sent_at", "incarnation")
@@ -36,15 +36,15 @@
         self.incarnation = incarnation
 
 
-class ToldDemand:
+class AnnouncedDemand:
     """What an agent was last told of this entry's waiting work."""
 
-    __slots__ = ("waiting", "rank", "told_at")
+    __slots__ = ("waiting", "rank", "announced_at")
 
     def __init__(self) -> None:
         self.waiting = 0
         self.rank = 0.0
-        self.told_at = float("-inf")
+        self.announced_at = float("-inf")
 
     def is_stale(self, waiting: int, rank: float, now: float) -> bool:
         """Tell whether the agent would give a freed slot to the wrong entry.
@@ -54,24 +54,33 @@
         """
         if not waiting and not self.waiting:
             return False
-        if bool(waiting) != bool(self.waiting) or rank < self.rank - URGENT_SECONDS:
+        if (
+            bool(waiting) != bool(self.waiting)
+            or rank < self.rank - MIN_RANK_CHANGE_SECONDS
+        ):
             return True
-        if now - self.told_at < CALM_SECONDS:
+        if now - self.announced_at < MIN_ANNOUNCEMENT_INTERVAL_SECONDS:
             return False
-        fewer = abs(waiting - self.waiting) > CHANGED_SHARE * self.waiting
-        return fewer or rank > self.rank + URGENT_SECONDS
+        fewer = abs(waiting - self.waiting) > MIN_CHANGE_SHARE * self.waiting
+        return fewer or rank > self.rank + MIN_RANK_CHANGE_SECONDS
 
     def is_due(self, waiting: int, rank: float, now: float) -> bool:
         """Tell whether it is worth looking at what each agent was told."""
-        if bool(waiting) != bool(self.waiting) or rank < self.rank - URGENT_SECONDS:
+        if (
+            bool(waiting) != bool(self.waiting)
+            or rank < self.rank - MIN_RANK_CHANGE_SECONDS
+        ):
             return True
-        return bool(waiting) and now - self.told_at >= CALM_SECONDS
+        return (
+            bool(waiting)
+            and now - self.announced_at >= MIN_ANNOUNCEMENT_INTERVAL_SECONDS
+        )
 
-    def note(self, waiting: int, rank: float, now: float) -> None:
+    def record(self, waiting: int, rank: float, now: float) -> None:
         """Note what the agent is told now."""
         self.waiting = waiting
         self.rank = rank
-        self.told_at = now
+        self.announced_at = now
 
 
 class AgentView:
@@ -86,14 +95,14 @@
         self.service = ""
         self.slots = 0
         self.leaving = False
-        self.outstanding: dict[TaskKey, Sent] = {}
+        self.outstanding: dict[TaskKey, OutstandingStart] = {}
         self.clock = 0.0
         self.clock_heard_at = now
         self.heard_at = now
         self.lost_at: float | None = None
         self.dialling = False
         self.dial_at = now
-        self.dial_delay = FIRST_DIAL_DELAY
+        self.dial_delay = FIRST_DIAL_DELAY_SECONDS
         self.acknowledged = 0
         self.revisions: dict[str, int] = {}
         self.digest = 0
@@ -104,7 +113,7 @@
         self.ejected_until = 0.0
         self.ejections = 0
         self.probing = False
-        self.demand = ToldDemand()
+        self.demand = AnnouncedDemand()
         self._reported_free = 0
         self._seen = 0
         self._sent = 0
@@ -118,11 +127,11 @@
         self.stream = stream
         self.incarnation = incarnation
         self.dialling = False
-        self.dial_delay = FIRST_DIAL_DELAY
+        self.dial_delay = FIRST_DIAL_DELAY_SECONDS
         self.lost_at = None
         self.heard_at = now
         self.acknowledged = 0
-        self.demand = ToldDemand()
+        self.demand = AnnouncedDemand()
         self._reported_free = 0
         self._seen = 0
         self._sent = 0
@@ -144,9 +153,9 @@
         """Note a failed dial."""
         self.dialling = False
         self.dial_at = now + self.dial_delay
-        self.dial_delay = min(self.dial_delay * 2, MAX_DIAL_DELAY)
+        self.dial_delay = min(self.dial_delay * 2, MAX_DIAL_DELAY_SECONDS)
 
-    def report(self, free: int, seen: int) -> None:
+    def update_free_slots(self, free: int, seen: int) -> None:
         """Note how many slots this entry may use."""
         self._reported_free = free
         self._seen = seen
@@ -156,7 +165,7 @@
         """Slots this entry may use now, less the starts still on their way."""
         return self._reported_free - (self._sent - self._seen)
 
-    def note_sent(self) -> None:
+    def count_sent_start(self) -> None:
         """Count a start that was just sent."""
         self._sent += 1
         # The agent counts the start off what it was told, too.
@@ -197,7 +206,7 @@
         best_score = (0, False, 0.0)
         for view in self.views:
             free = view.free
-            if free <= 0 or not self.is_open(view, now):
+            if free <= 0 or not self.may_send_start(view, now):
                 continue
             near = same_zone and view.zone == self._zone
             score = (free, near, self._rng.random())
@@ -206,7 +215,7 @@
                 best_score = score
         return best
 
-    def is_open(self, view: AgentView, now: float) -> bool:
+    def may_send_start(self, view: AgentView, now: float) -> bool:
         """Tell whether a start may go to an agent now."""
         if not view.is_usable(now, self._window):
             return False
--- a/src/godwitbank/_internal/core/pressure.py
+++ b/src/godwitbank/_internal/core/pressure.py
@@ -9,23 +9,23 @@
 from collections import deque
 from typing import NamedTuple
 
-WINDOW = 0.05
+LAG_WINDOW_SECONDS = 0.05
 """Seconds of which the least lateness counts, so that one long turn does not."""
 
-ALLOWANCE = 0.1
+THROTTLING_PERIOD_SECONDS = 0.1
 """Seconds that a VM may stand still although it has processor time: an allowance that
 is used up comes anew every tenth of a second."""
 
-EMPTY = 0.005
+IDLE_LAG_SECONDS = 0.005
 """Seconds of lateness below which nothing waits. Where that was so within ``ALLOWANCE``
 the queue empties, and a process is behind only by what is later than that."""
 
-BEHIND = 0.03
+OVERLOADED_LAG_SECONDS = 0.03
 """Seconds of lateness at which a process is behind. A job is read, placed and answered
 in several turns of the loop, each as late; tasks of a tenth of a second are late
 then."""
 
-CAUGHT_UP = 0.025
+RECOVERED_LAG_SECONDS = 0.025
 """Seconds of lateness at which it isn't any more; apart from ``BEHIND``, so that a
 process at the limit doesn't log every change."""
 
@@ -66,8 +66,8 @@
     def __init__(self) -> None:
         self.lag = 0.0
         self.mean = 0.0
-        self.behind = False
-        self.behind_since = math.inf
+        self.overloaded = False
+        self.overloaded_since = math.inf
         self._samples: deque[Sample] = deque()
 
     def observe(self, lag: float, now: float) -> PressureChange | None:
@@ -77,24 +77,32 @@
         """
         self.mean += MEAN_WEIGHT * (lag - self.mean)
         self._samples.append(Sample(lag, now))
-        while now - self._samples[0].at > ALLOWANCE + WINDOW:
+        while (
+            now - self._samples[0].at > THROTTLING_PERIOD_SECONDS + LAG_WINDOW_SECONDS
+        ):
             self._samples.popleft()
-        self.lag = min(each.lag for each in self._samples if now - each.at <= WINDOW)
-        was_behind = self.behind
-        limit = CAUGHT_UP if was_behind else BEHIND
-        self.behind = self._measure_standing() >= limit
-        if self.behind == was_behind:
+        self.lag = min(
+            each.lag for each in self._samples if now - each.at <= LAG_WINDOW_SECONDS
+        )
+        was_behind = self.overloaded
+        limit = RECOVERED_LAG_SECONDS if was_behind else OVERLOADED_LAG_SECONDS
+        self.overloaded = self._measure_standing() >= limit
+        if self.overloaded == was_behind:
             return None
         return self._describe(now)
 
     def _measure_standing(self) -> float:
         least = min(each.lag for each in self._samples)
-        return self.lag if least >= EMPTY else self.lag - ALLOWANCE
+        return (
+            self.lag
+            if least >= IDLE_LAG_SECONDS
+            else self.lag - THROTTLING_PERIOD_SECONDS
+        )
 
     def _describe(self, now: float) -> PressureChange:
         lag = round(self.lag, 3)
-        if self.behind:
-            self.behind_since = now
+        if self.overloaded:
+            self.overloaded_since = now
             return PressureChange("behind", lag, 0.0)
-        seconds = round(now - self.behind_since, 3)
+        seconds = round(now - self.overloaded_since, 3)
         return PressureChange("caught_up", lag, seconds)
--- a/src/godwitbank/_internal/core/queue.py
+++ b/src/godwitbank/_internal/core/queue.py
@@ -21,7 +21,7 @@
     class_name: str
 
 
-class Batch:
+class JobBatch:
     """Waiting tasks of one job in one class."""
 
     __slots__ = ("rank", "sequence", "tasks", "live", "queued")
@@ -33,7 +33,7 @@
         self.live = 0
         self.queued = False
 
-    def __lt__(self, other: "Batch") -> bool:
+    def __lt__(self, other: "JobBatch") -> bool:
         return (self.rank, self.sequence) < (other.rank, other.sequence)
 
 
@@ -47,15 +47,15 @@
         self.mean = mean
         self.virtual_time = 0.0
         self.waiting = 0
-        self._heap: list[Batch] = []
-        self._batches: dict[str, Batch] = {}
+        self._heap: list[JobBatch] = []
+        self._batches: dict[str, JobBatch] = {}
 
     def add(self, task: Task, sequence: int, front: bool) -> None:
         """Queue a task, at the front of its batch when it was refused."""
         job: Job = task.job
         batch = self._batches.get(job.submission)
         if batch is None:
-            batch = self._batches[job.submission] = Batch(job.rank, sequence)
+            batch = self._batches[job.submission] = JobBatch(job.rank, sequence)
         if front:
             batch.tasks.appendleft(task)
         else:
@@ -119,7 +119,7 @@
         queue.weight = weight
         queue.mean = mean
 
-    def observe(self, name: str, mean: float) -> None:
+    def set_mean(self, name: str, mean: float) -> None:
         """Refresh the mean run time of a class, in seconds."""
         queue = self._classes.get(name)
         if queue is not None:
--- a/src/godwitbank/_internal/core/quota.py
+++ b/src/godwitbank/_internal/core/quota.py
@@ -2,10 +2,10 @@
 
 from typing import NamedTuple
 
-DEMAND_HALF_LIFE = 2.0
+DEMAND_HALF_LIFE_SECONDS = 2.0
 """Seconds in which a past demand counts half."""
 
-FLOOR = 1.0
+BASE_DEMAND_STARTS_PER_SECOND = 1.0
 """Starts a second added to each entry's demand, so that none has no share."""
 
 
@@ -23,7 +23,7 @@
     be admitted in part; later submissions wait until the debt is paid.
     """
 
-    PEER_LAPSE = 5.0
+    PEER_DEMAND_LAPSE_SECONDS = 5.0
 
     def __init__(self, rate: float, burst: float, now: float) -> None:
         self.rate = rate
@@ -41,21 +41,21 @@
         self.rate = rate
         self.burst = burst
 
-    def hear(self, peer: str, demand: float, now: float) -> None:
+    def update_peer_demand(self, peer: str, demand: float, now: float) -> None:
         """Note another entry's demand."""
         self._peers[peer] = PeerDemand(demand, now)
 
     def measure_share(self, now: float) -> float:
         """Tell this entry's share of the quota, 0 to 1."""
         others = [
-            peer.demand + FLOOR
+            peer.demand + BASE_DEMAND_STARTS_PER_SECOND
             for peer in self._peers.values()
-            if now - peer.heard_at < self.PEER_LAPSE
+            if now - peer.heard_at < self.PEER_DEMAND_LAPSE_SECONDS
         ]
-        own = self.demand + FLOOR
+        own = self.demand + BASE_DEMAND_STARTS_PER_SECOND
         return own / (own + sum(others))
 
-    def take(self, starts: int, now: float) -> float:
+    def take_tokens(self, starts: int, now: float) -> float:
         """Take tokens for a submission.
 
         :return: 0 when admitted, else seconds after which to come back.
@@ -73,6 +73,6 @@
         return 0.0
 
     def _note_demand(self, starts: int, now: float) -> None:
-        decay = 0.5 ** ((now - self._demand_at) / DEMAND_HALF_LIFE)
-        self.demand = self.demand * decay + starts / (DEMAND_HALF_LIFE / 0.6931)
+        decay = 0.5 ** ((now - self._demand_at) / DEMAND_HALF_LIFE_SECONDS)
+        self.demand = self.demand * decay + starts / (DEMAND_HALF_LIFE_SECONDS / 0.6931)
         self._demand_at = now
--- a/src/godwitbank/_internal/core/recalls.py
+++ b/src/godwitbank/_internal/core/recalls.py
@@ -6,11 +6,11 @@
 from godwitbank._internal.core.work import Job, Task, TaskState
 from godwitbank._internal.models.messages import Verdict
 
-PATIENCE = 1.0
+ANSWER_TIMEOUT_SECONDS = 1.0
 """Seconds agents have to answer."""
 
 
-class Question:
+class PendingRecall:
     """One task's question, open until every asked agent has answered."""
 
     __slots__ = ("task", "unanswered", "running", "expires")
@@ -22,7 +22,7 @@
         self.expires = expires
 
 
-class Heard(NamedTuple):
+class RecallProgress(NamedTuple):
     """What an agent's answer means for one task.
 
     :param settled: whether no further answer will come.
@@ -30,22 +30,22 @@
 
     task: Task
     running: bool
-    settled: bool
+    resolved: bool
 
 
 class Recalls:
     """Open questions by claim key."""
 
     def __init__(self) -> None:
-        self._open: dict[str, list[Question]] = {}
+        self._open: dict[str, list[PendingRecall]] = {}
 
-    def ask(self, key: str, task: Task, asked: int, now: float) -> float:
+    def request(self, key: str, task: Task, asked: int, now: float) -> float:
         """Open a question; returns the time at which it expires."""
-        question = Question(task, asked, now + PATIENCE)
+        question = PendingRecall(task, asked, now + ANSWER_TIMEOUT_SECONDS)
         self._open.setdefault(key, []).append(question)
         return question.expires
 
-    def hear(self, key: str, verdict: str) -> Iterator[Heard]:
+    def handle_answer(self, key: str, verdict: str) -> Iterator[RecallProgress]:
         """Count one agent's answer for every task that asked."""
         for question in self._open.pop(key, []):
             question.unanswered -= 1
@@ -53,9 +53,9 @@
             settled = question.unanswered <= 0
             if not settled and verdict != Verdict.FINISHED:
                 self._open.setdefault(key, []).append(question)
-            yield Heard(question.task, question.running, settled)
+            yield RecallProgress(question.task, question.running, settled)
 
-    def list_expired(self, job: Job, now: float) -> list[Task]:
+    def take_expired(self, job: Job, now: float) -> list[Task]:
         """Close a job's questions that agents did not answer in time."""
         expired = []
         for key in list(self._open):
--- a/src/godwitbank/_internal/core/runs/forwarding.py
+++ b/src/godwitbank/_internal/core/runs/forwarding.py
@@ -134,7 +134,7 @@
     @property
     def sheds(self) -> bool:
         """Whether requests are refused before they are read."""
-        if not self._pressure.behind:
+        if not self._pressure.overloaded:
             return False
         return self._pressure.lag >= SHED_LAG or not any(self._list_spare())
 
--- a/src/godwitbank/_internal/core/runs/intake.py
+++ b/src/godwitbank/_internal/core/runs/intake.py
@@ -82,7 +82,7 @@
         adopted = self._adoption.is_adopted(event.caller)
         if not adopted and self._forwarding.try_forward(event):
             return
-        if self._pressure.behind:
+        if self._pressure.overloaded:
             # Taken now it would be late, and make all others later, until the entry
             # works for callers that have left.
             self._refuse(event, "no_processor")
--- a/src/godwitbank/_internal/core/service.py
+++ b/src/godwitbank/_internal/core/service.py
@@ -3,8 +3,8 @@
 from random import Random
 from typing import NamedTuple
 
-from godwitbank._internal.core.catalog import Held
-from godwitbank._internal.core.pool import Pool, ToldDemand
+from godwitbank._internal.core.catalog import InstalledDocument
+from godwitbank._internal.core.pool import AnnouncedDemand, Pool
 from godwitbank._internal.core.queue import ServiceQueue
 from godwitbank._internal.core.quota import Quota
 from godwitbank._internal.core.work import ClassStatistics, TaskState
@@ -12,10 +12,10 @@
 from godwitbank._internal.models.outcomes import Reason
 from godwitbank._internal.models.tasks import Submission
 
-PEER_LAPSE = 3.0
+PEER_BACKLOG_LAPSE_SECONDS = 3.0
 """Seconds after which a peer's word about its backlog is out of date."""
 
-SAFETY = 0.9
+USABLE_DEADLINE_SHARE = 0.9
 """Part of the time to a deadline that admission may count on."""
 
 
@@ -41,20 +41,20 @@
     """State of one service at one entry."""
 
     def __init__(
-        self, held: Held, rng: Random, zone: str, window: float, now: float
+        self, held: InstalledDocument, rng: Random, zone: str, window: float, now: float
     ) -> None:
         self.queue = ServiceQueue()
         self.pool = Pool(rng, zone, window)
         self.statistics: dict[str, ClassStatistics] = {}
         self.peer_backlogs: dict[str, PeerBacklog] = {}
-        self.wants = ToldDemand()
+        self.announced_demand = AnnouncedDemand()
         self.without_agents_since: float | None = None
         quota = held.document.quota
         self.quota = Quota(quota.starts_per_second, quota.burst, now)
         self.document: ServiceDocument = held.document
         self.configure(held)
 
-    def configure(self, held: Held) -> None:
+    def configure(self, held: InstalledDocument) -> None:
         """Put a document in force."""
         self.document = held.document
         quota = held.document.quota
@@ -64,12 +64,12 @@
                 self.statistics[name] = ClassStatistics(table)
             self.queue.set_class(name, table.weight, self.statistics[name].mean)
 
-    def observe(self, class_name: str, run_time: float) -> None:
+    def observe_run_time(self, class_name: str, run_time: float) -> None:
         """Note a run time, in seconds."""
         statistics = self.statistics.get(class_name)
         if statistics is not None:
-            statistics.observe(run_time)
-            self.queue.observe(class_name, statistics.mean)
+            statistics.observe_run_time(run_time)
+            self.queue.set_mean(class_name, statistics.mean)
 
     def estimate_ideal(self, submission: Submission, now: float) -> float:
         """Estimate a submission's response on an idle system, in seconds."""
@@ -77,7 +77,7 @@
         slots = self.pool.count_slots(now) or 1
         return max(max(means), sum(means) / slots)
 
-    def rank(self, submission: Submission, now: float) -> float:
+    def compute_rank(self, submission: Submission, now: float) -> float:
         """Set the time before which nobody passes a submission."""
         stretch = self.document.policy.stretch
         return now + stretch * self.estimate_ideal(submission, now)
@@ -93,13 +93,13 @@
         others = sum(
             peer.seconds
             for peer in self.peer_backlogs.values()
-            if now - peer.heard_at < PEER_LAPSE
+            if now - peer.heard_at < PEER_BACKLOG_LAPSE_SECONDS
         )
         if own > 0:
             ahead += others * ahead / own
         return ahead / (self.pool.count_slots(now) or 1)
 
-    def check(self, submission: Submission, now: float) -> Refusal | None:
+    def check_admission(self, submission: Submission, now: float) -> Refusal | None:
         """Say why a submission can't be admitted, or ``None``."""
         refusal = self._check_tasks(submission)
         if refusal is not None:
@@ -110,15 +110,15 @@
         if refusal is not None:
             return refusal
         ideal = self.estimate_ideal(submission, now)
-        wait = self.estimate_wait(self.rank(submission, now), now)
+        wait = self.estimate_wait(self.compute_rank(submission, now), now)
         left = submission.deadline - now
-        if wait > 0 and wait + ideal > left * SAFETY:
+        if wait > 0 and wait + ideal > left * USABLE_DEADLINE_SHARE:
             return Refusal(
                 Reason.DEADLINE_UNREACHABLE,
                 f"{wait:.1f} s of work wait before it",
-                max(wait + ideal - left * SAFETY, 0.1),
+                max(wait + ideal - left * USABLE_DEADLINE_SHARE, 0.1),
             )
-        delay = self.quota.take(len(submission.tasks), now)
+        delay = self.quota.take_tokens(len(submission.tasks), now)
         if delay > 0:
             return Refusal(Reason.QUOTA, "the team's quota is used up", delay)
         return None
--- a/src/godwitbank/_internal/core/memory.py
+++ b/src/godwitbank/_internal/core/task_history.py
@@ -15,10 +15,10 @@
 from godwitbank._internal.models.messages import Verdict
 from godwitbank._internal.models.tasks import TaskKey
 
-RETENTION = 60.0
+RETENTION_SECONDS = 60.0
 """Seconds a record outlives its start bound."""
 
-REQUEST_RETENTION = 600.0
+REQUEST_RETENTION_SECONDS = 600.0
 """Seconds an answer to a non-idempotent request can be asked for again."""
 
 MAX_RECORDS = 100_000
@@ -38,7 +38,7 @@
     position: int
 
 
-class State(Enum):
+class RecordState(Enum):
     """What is known of a task here."""
 
     FENCED = auto()
@@ -46,12 +46,14 @@
     FINISHED = auto()
 
 
-class Record:
+class TaskRecord:
     """One task's trace."""
 
     __slots__ = ("attempt", "state", "start_by", "ending", "entry")
 
-    def __init__(self, attempt: int, state: State, start_by: float, entry: str) -> None:
+    def __init__(
+        self, attempt: int, state: RecordState, start_by: float, entry: str
+    ) -> None:
         self.attempt = attempt
         self.state = state
         self.start_by = start_by
@@ -59,13 +61,13 @@
         self.entry = entry
 
 
-class Memory:
+class TaskHistory:
     """Records of started and fenced tasks, bounded in time and number."""
 
     def __init__(
-        self, retention: float = RETENTION, max_records: int = MAX_RECORDS
+        self, retention: float = RETENTION_SECONDS, max_records: int = MAX_RECORDS
     ) -> None:
-        self._records: OrderedDict[TaskName, Record] = OrderedDict()
+        self._records: OrderedDict[TaskName, TaskRecord] = OrderedDict()
         self._requests: OrderedDict[str, TaskName] = OrderedDict()
         self._request_times: dict[str, float] = {}
         self._request_endings: dict[str, RunEnded] = {}
@@ -77,7 +79,7 @@
     def __len__(self) -> int:
         return len(self._records)
 
-    def find(self, key: TaskKey) -> Record | None:
+    def find(self, key: TaskKey) -> TaskRecord | None:
         """Find the record of a task, whatever the attempt."""
         return self._records.get(TaskName(key.submission, key.position))
 
@@ -86,9 +88,11 @@
         name = TaskName(key.submission, key.position)
         record = self._records.get(name)
         if record is None:
-            self._records[name] = Record(key.attempt, State.FENCED, start_by, entry)
+            self._records[name] = TaskRecord(
+                key.attempt, RecordState.FENCED, start_by, entry
+            )
             return
-        if record.state is State.FENCED:
+        if record.state is RecordState.FENCED:
             record.attempt = max(record.attempt, key.attempt)
             record.start_by = max(record.start_by, start_by)
 
@@ -97,26 +101,28 @@
         record = self.find(key)
         return (
             record is not None
-            and record.state is State.FENCED
+            and record.state is RecordState.FENCED
             and record.attempt >= key.attempt
         )
 
-    def start(
+    def record_start(
         self, key: TaskKey, start_by: float, entry: str, request_id: str, now: float
     ) -> None:
         """Note a start; the caller has checked that it is allowed."""
         name = TaskName(key.submission, key.position)
         self._records.pop(name, None)
-        self._records[name] = Record(key.attempt, State.RUNNING, start_by, entry)
+        self._records[name] = TaskRecord(
+            key.attempt, RecordState.RUNNING, start_by, entry
+        )
         if request_id:
             self._requests[request_id] = name
             self._request_times[request_id] = now
 
-    def finish(self, ending: RunEnded, request_id: str) -> Record | None:
+    def record_end(self, ending: RunEnded, request_id: str) -> TaskRecord | None:
         """Note how a started task ended."""
         record = self.find(ending.key)
         if record is not None:
-            record.state = State.FINISHED
+            record.state = RecordState.FINISHED
             record.ending = ending
         if request_id in self._requests:
             self._request_endings[request_id] = ending
@@ -137,9 +143,9 @@
                 return Verdict.UNKNOWN
             self.fence(key, start_by, entry)
             return Verdict.FENCED
-        if record.state is State.RUNNING:
+        if record.state is RecordState.RUNNING:
             return Verdict.RUNNING
-        if record.state is State.FINISHED:
+        if record.state is RecordState.FINISHED:
             return Verdict.FINISHED if record.ending else Verdict.UNKNOWN
         self.fence(key, start_by, entry)
         return Verdict.FENCED
@@ -164,12 +170,12 @@
             old = record.start_by + self._retention < now
             if not old and len(self._records) <= self._max_records:
                 break
-            if record.state is State.RUNNING:
+            if record.state is RecordState.RUNNING:
                 # A running task's trace is the only thing that can answer for
                 # it; it moves to the end and is looked at again later.
                 self._records.move_to_end(name)
                 if old or all(
-                    each.state is State.RUNNING for each in self._records.values()
+                    each.state is RecordState.RUNNING for each in self._records.values()
                 ):
                     break
                 continue
@@ -177,7 +183,7 @@
             self._forgotten = max(self._forgotten, record.start_by)
         while self._requests:
             request_id = next(iter(self._requests))
-            old = self._request_times[request_id] + REQUEST_RETENTION < now
+            old = self._request_times[request_id] + REQUEST_RETENTION_SECONDS < now
             many = len(self._requests) > MAX_REQUESTS
             if not (old or many or self._request_bytes > MAX_REQUEST_BYTES):
                 break
--- a/src/godwitbank/_internal/core/work.py
+++ b/src/godwitbank/_internal/core/work.py
@@ -10,7 +10,7 @@
 class TaskState(Enum):
     """Where a task stands."""
 
-    ENTERING = auto()
+    NEW = auto()
     CLAIMING = auto()
     RECALLING = auto()
     WAITING = auto()
@@ -28,7 +28,7 @@
         self.job = job
         self.index = index
         self.spec = spec
-        self.state = TaskState.ENTERING
+        self.state = TaskState.NEW
         self.attempt = 0
         self.key = TaskKey(job.submission, index, 0)
         self.refusals = 0
@@ -70,7 +70,7 @@
         self.unanswered = len(self.tasks)
         self.started = 0
 
-    def answer(self, task: Task, answer: TaskAnswer) -> bool:
+    def add_answer(self, task: Task, answer: TaskAnswer) -> bool:
         """Join one answer.
 
         :return: whether the job is now complete.
@@ -98,7 +98,7 @@
         self.mean = table.expected_seconds
         self._samples = self.DECLARED_SAMPLES
 
-    def observe(self, run_time: float) -> None:
+    def observe_run_time(self, run_time: float) -> None:
         """Note one run time, in seconds."""
         self._samples = min(self._samples + 1, self.MAX_SAMPLES)
         self.mean += (run_time - self.mean) / self._samples
--- a/src/godwitbank/_internal/operations/agent.py
+++ b/src/godwitbank/_internal/operations/agent.py
@@ -133,17 +133,17 @@
     async def _announce_forever(self) -> None:
         while True:
             connected = self.core.list_entries()
-            targets = self._announcements.choose(connected, time.monotonic())
+            targets = self._announcements.choose_targets(connected, time.monotonic())
             await asyncio.gather(*(self._announce_to(each) for each in targets))
             await asyncio.sleep(self.settings.announce)
 
     async def _announce_to(self, address: str) -> None:
         try:
             async with asyncio.timeout(ANNOUNCE_SECONDS):
-                self._announcements.learn(await self._ask_entries(address))
+                self._announcements.add_entries(await self._ask_entries(address))
         except (OSError, TimeoutError, FrameError, EOFError):
             self.core.counts.add("announcements_failed")
-            self._announcements.forget(address)
+            self._announcements.remove_entry(address)
 
     async def _ask_entries(self, address: str) -> list[str]:
         host, port = parse_address(address)
--- a/src/godwitbank/_internal/operations/entry.py
+++ b/src/godwitbank/_internal/operations/entry.py
@@ -13,7 +13,7 @@
 from godwitbank._internal.core.entry import EntryCore
 from godwitbank._internal.core.events import (
     Action,
-    CallerLeft,
+    CallerDisconnected,
     ClaimsFailed,
     ClaimsWritten,
     CloseStream,
@@ -24,7 +24,7 @@
     Reply,
     Send,
     Submitted,
-    TableSeen,
+    TableRead,
     WriteClaims,
 )
 from godwitbank._internal.core.identity import Identity, Timing, make_hello
@@ -97,7 +97,7 @@
         if self.draining:
             detail = "this entry is stopping"
             return Failed(submission, Reason.STOPPING, Ran.NOT_RUN, detail, 0.0)
-        if self.pressure.behind and self.pressure.lag >= LATE_SECONDS:
+        if self.pressure.overloaded and self.pressure.lag >= LATE_SECONDS:
             # Taken now it would be late, and make all that was taken before later.
             detail = f"this entry is {self.pressure.lag:.3f} s behind"
             return Failed(submission, Reason.NO_PROCESSOR, Ran.NOT_RUN, detail, 1.0)
@@ -112,7 +112,7 @@
         try:
             return await future
         except asyncio.CancelledError:
-            self._inbox.put(CallerLeft(submission))
+            self._inbox.put(CallerDisconnected(submission))
             raise
         finally:
             self._callers.pop(submission, None)
@@ -142,7 +142,7 @@
         """Ask an agent to leave; returns whether it is connected."""
         known = any(
             view.process == agent and view.stream is not None
-            for view in self.core.members.agents.values()
+            for view in self.core.membership.agents.values()
         )
         if known:
             self._inbox.put(DrainRequested(agent, operator))
@@ -234,7 +234,7 @@
         while True:
             try:
                 await self.registry.refresh(self.core.catalog.list_revisions())
-                self._inbox.put(TableSeen())
+                self._inbox.put(TableRead())
             except TableError as error:
                 self.core.counts.add("table_reads_failed")
                 logging.debug("table not read: %s", error)
--- a/src/godwitbank/_internal/operations/status.py
+++ b/src/godwitbank/_internal/operations/status.py
@@ -23,7 +23,7 @@
             "ejected": now < view.ejected_until,
             "revisions": core.list_revisions_of(view),
         }
-        for view in core.members.agents.values()
+        for view in core.membership.agents.values()
     ]
     peers = [
         {
@@ -32,7 +32,7 @@
             "connected": peer.stream is not None,
             "revisions": core.list_revisions_of(peer),
         }
-        for peer in core.members.peers.values()
+        for peer in core.membership.peers.values()
     ]
     services = [
         {
--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -52,7 +52,7 @@
     Break(
         "repeated starts trusted",
         f"{CORE}/agent.py",
-        "if record is not None and record.state is not State.FENCED:",
+        "if record is not None and record.state is not RecordState.FENCED:",
         "if False:",
         f"{FAILURES}/test_starts.py::test_repeated_bytes_start_nothing_twice",
     ),
@@ -124,13 +124,13 @@
     Break(
         "agent exits with work running",
         f"{CORE}/agent.py",
-        "if not self._tenancy.stopping or self.running or self._drained:",
-        "if not self._tenancy.stopping or self._drained:",
+        "if not self._endpoint_lease.stopping or self.running or self._drained:",
+        "if not self._endpoint_lease.stopping or self._drained:",
         f"{FAILURES}/test_leaving.py::test_leaving_takes_nothing_new_and_cuts_nothing",
     ),
     Break(
         "lease never lapses",
-        f"{CORE}/tenancy.py",
+        f"{CORE}/endpoint_lease.py",
         "if self.service and self.is_lapsed(now):",
         "if False:",
         f"{FAILURES}/test_leaving.py::test_vanished_endpoint_lapses",
@@ -174,14 +174,14 @@
     Break(
         "nobody is ejected",
         f"{CORE}/ejection.py",
-        "    if rate >= MIN_RATE and rate > PEER_FACTOR * peer_rate:",
+        "    if rate >= MIN_FAILURE_RATE and rate > PEER_RATE_FACTOR * peer_rate:",
         "    if False:",
         f"{FAILURES}/test_endpoints.py::test_endpoint_that_fails_everything_is_ejected",
     ),
     Break(
         "endpoints judged without their peers",
         f"{CORE}/ejection.py",
-        "rate > PEER_FACTOR * peer_rate",
+        "rate > PEER_RATE_FACTOR * peer_rate",
         "rate > 0",
         f"{FAILURES}/test_endpoints.py::test_task_that_fails_everywhere_ejects_nobody",
     ),
@@ -442,8 +442,8 @@
     Break(
         "no process is ever behind",
         f"{CORE}/pressure.py",
-        "self.behind = self._measure_standing() >= limit",
-        "self.behind = False",
+        "self.overloaded = self._measure_standing() >= limit",
+        "self.overloaded = False",
         f"{RUNS}/test_behind.py::"
         "test_callers_are_refused_at_once_while_no_entry_has_processor_time",
     ),
--- a/tests/core/test_ejection.py
+++ b/tests/core/test_ejection.py
@@ -12,7 +12,7 @@
         view = AgentView(f"agent-{number}", 0.0)
         view.service = "desk"
         view.connect(number + 1, "i", 0.0, 0.0)
-        view.report(8, 0)
+        view.update_free_slots(8, 0)
         pool.views.append(view)
     return pool
 
@@ -57,13 +57,13 @@
     pool = _make_pool(2)
     view = pool.views[0]
     ejection.eject(view, 0.0)
-    assert not pool.is_open(view, 0.5)
-    after = ejection.FIRST_EJECTION + 0.1
+    assert not pool.may_send_start(view, 0.5)
+    after = ejection.FIRST_EJECTION_SECONDS + 0.1
     for each in pool.views:
         each.set_clock(after, after)
-    assert pool.is_open(view, after)
+    assert pool.may_send_start(view, after)
     view.outstanding[object()] = object()  # type: ignore[index, assignment]
-    assert not pool.is_open(view, after)
+    assert not pool.may_send_start(view, after)
 
 
 def test_one_that_crawls_is_ejected() -> None:
--- a/tests/core/test_exploration.py
+++ b/tests/core/test_exploration.py
@@ -15,7 +15,7 @@
 from godwitbank._internal.core.agent import AgentCore
 from godwitbank._internal.core.catalog import Catalog
 from godwitbank._internal.core.events import DocumentRead
-from godwitbank._internal.core.memory import Memory
+from godwitbank._internal.core.task_history import TaskHistory
 from godwitbank._internal.models.messages import Refusal, Verdict
 from tests.lib.world import DESK, World
 
@@ -237,7 +237,7 @@
 
 
 def _drop_fence(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Memory, "fence", lambda *arguments: None)
+    monkeypatch.setattr(TaskHistory, "fence", lambda *arguments: None)
 
 
 def _ignore_incarnation(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -270,7 +270,7 @@
 
 
 def _ignore_duplicates(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Memory, "find", lambda self, key: None)
+    monkeypatch.setattr(TaskHistory, "find", lambda self, key: None)
 
 
 def _start_while_leaving(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -285,7 +285,7 @@
 
 def _skip_claims(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
-        "godwitbank._internal.core.claims.Claims.settle",
+        "godwitbank._internal.core.claims.Claims.resolve",
         lambda self, number, lost: _win_all(self),
     )
 
@@ -297,14 +297,14 @@
 
 def _guess_not_run(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
-        "godwitbank._internal.core.dispatch.Dispatcher.lose",
+        "godwitbank._internal.core.dispatch.Dispatcher.mark_outcome_unknown",
         lambda self, sent, detail: self._requeue(sent.task),
     )
 
 
 def _resolve_forgets(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
-        Memory, "resolve", lambda self, key, start_by, entry: Verdict.FENCED
+        TaskHistory, "resolve", lambda self, key, start_by, entry: Verdict.FENCED
     )
 
 
--- a/tests/core/test_grants.py
+++ b/tests/core/test_grants.py
@@ -28,7 +28,7 @@
 def test_an_entry_is_told_when_its_view_would_collide_or_idle() -> None:
     grants = _make((0, 0), (0, 0))
     assert dict(grants.list_changes(1)) == {1: 1, 2: 1}
-    grants.use(1)
+    grants.record_start(1)
     assert dict(grants.list_changes(0)) == {2: 0}
     assert grants.list_changes(0) == []
 
--- a/tests/core/test_pressure.py
+++ b/tests/core/test_pressure.py
@@ -32,7 +32,7 @@
     # tenth of a second; what came meanwhile is done at full speed then.
     pressure = Pressure()
     assert observe_all(pressure, [0.0, 0.0, 0.045] * 10, 0.025) == []
-    assert not pressure.behind
+    assert not pressure.overloaded
 
 
 def test_catching_up_is_told_with_how_long_it_took() -> None:
@@ -42,4 +42,4 @@
     change = pressure.observe(0.0, 100.5)
     assert change is not None
     assert (change.event, change.seconds) == ("caught_up", 0.5)
-    assert not pressure.behind
+    assert not pressure.overloaded
--- a/tests/core/test_quota.py
+++ b/tests/core/test_quota.py
@@ -10,32 +10,32 @@
     for number, quota in enumerate(quotas):
         for other, peer in enumerate(quotas):
             if other != number:
-                quota.hear(f"entry-{other}", peer.demand, 0.0)
+                quota.update_peer_demand(f"entry-{other}", peer.demand, 0.0)
     assert abs(sum(quota.measure_share(0.0) for quota in quotas) - 1) < 1e-9
     assert quotas[0].measure_share(0.0) > 0
 
 
 def test_rate_is_held_over_time() -> None:
     quota = Quota(50, 2, 0.0)
-    admitted = sum(quota.take(1, step * 0.001) == 0 for step in range(10_000))
+    admitted = sum(quota.take_tokens(1, step * 0.001) == 0 for step in range(10_000))
     assert 500 <= admitted <= 50 * 10 + 50 * 2 + 2
 
 
 def test_a_job_larger_than_the_bucket_runs_it_into_debt() -> None:
     quota = Quota(10, 1, 0.0)
-    assert quota.take(460, 0.0) == 0
-    wait = quota.take(1, 0.1)
+    assert quota.take_tokens(460, 0.0) == 0
+    wait = quota.take_tokens(1, 0.1)
     assert 44 < wait < 47
-    assert quota.take(1, 0.1 + wait + 0.1) == 0
+    assert quota.take_tokens(1, 0.1 + wait + 0.1) == 0
 
 
 def test_a_silent_peer_gives_its_share_back() -> None:
     quota = Quota(100, 1, 0.0)
-    quota.hear("entry-1", 500.0, 0.0)
+    quota.update_peer_demand("entry-1", 500.0, 0.0)
     assert quota.measure_share(1.0) < 0.1
     assert quota.measure_share(10.0) == 1.0
 
 
 def test_no_quota_means_no_limit() -> None:
     quota = Quota(0, 1, 0.0)
-    assert all(quota.take(460, 0.0) == 0 for _ in range(100))
+    assert all(quota.take_tokens(460, 0.0) == 0 for _ in range(100))
--- a/tests/core/test_work.py
+++ b/tests/core/test_work.py
@@ -2,7 +2,10 @@
 
 from random import Random
 
-from godwitbank._internal.core.pool import CALM_SECONDS, ToldDemand
+from godwitbank._internal.core.pool import (
+    MIN_ANNOUNCEMENT_INTERVAL_SECONDS,
+    AnnouncedDemand,
+)
 from godwitbank._internal.core.work import ClassStatistics
 from godwitbank._internal.models.document import ClassTable
 
@@ -21,7 +24,7 @@
     for step in range(3000):
         long = chance.random() < 0.02
         run = chance.uniform(3, 8) if long else chance.uniform(0.05, 1)
-        entries[step % 2].observe(run)
+        entries[step % 2].observe_run_time(run)
         if step > 1000:
             worst = max(worst, abs(entries[0].mean - entries[1].mean))
     assert worst < 0.12
@@ -35,10 +38,10 @@
     but the number of waiting tasks hardly changed.
     Cause: agents told again only when the number changed by half.
     """
-    told = ToldDemand()
+    told = AnnouncedDemand()
     assert told.is_stale(300, rank=50.0, now=1.0)
-    told.note(300, 50.0, 1.0)
+    told.record(300, 50.0, 1.0)
     assert told.is_stale(301, rank=20.0, now=1.001)
-    told.note(301, 20.0, 1.001)
+    told.record(301, 20.0, 1.001)
     assert not told.is_stale(300, rank=50.0, now=1.002)
-    assert told.is_stale(300, rank=50.0, now=1.001 + CALM_SECONDS)
+    assert told.is_stale(300, rank=50.0, now=1.001 + MIN_ANNOUNCEMENT_INTERVAL_SECONDS)
--- a/tests/lib/world.py
+++ b/tests/lib/world.py
@@ -29,7 +29,7 @@
     StreamClosed,
     StreamOpened,
     Submitted,
-    TableSeen,
+    TableRead,
     Tick,
     WriteClaims,
 )
@@ -113,7 +113,7 @@
         """Start an entry; the one it replaces is gone without a word."""
         core = EntryCore(self._identify(name), self.timing, Random(3), self.now)
         process = self.processes[name] = Process(name, core)
-        self.post(process, TableSeen())
+        self.post(process, TableRead())
         if not self.table_down:
             self.post(process, DocumentRead("desk", self.revision, self.text))
         for other in list(self.processes.values()):
