--- a/bench/lab/policies.py
+++ b/bench/lab/policies.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from godwitbank._internal.core.runs.policy import DEFAULT, Policy
+from godwitbank._internal.core.runs.policy import DEFAULT_POLICY, Policy
 
 
 def find_policy(name: str) -> Policy:
@@ -15,11 +15,11 @@
         if word == "default":
             continue
         field, _, value = word.removeprefix("no_").partition("=")
-        present = getattr(DEFAULT, field)
+        present = getattr(DEFAULT_POLICY, field)
         if word.startswith("no_"):
             changes[field] = False
         elif isinstance(present, bool):
             changes[field] = value == "True"
         else:
             changes[field] = type(present)(value)
-    return DEFAULT._replace(**changes)
+    return DEFAULT_POLICY._replace(**changes)
--- a/src/godwitbank/_internal/core/runs/agent.py
+++ b/src/godwitbank/_internal/core/runs/agent.py
@@ -367,7 +367,7 @@
                 self._send_pulse(link, pulse)
 
     def _make_pulse(self) -> Pulse:
-        slowness = round(self.runner.slowness.read(self._now), 1)
+        slowness = round(self.runner.slowness.estimate(self._now), 1)
         return Pulse([], slowness, self._now, round(self.pressure.mean, 3))
 
     def _send_pulse(self, link: Link, pulse: Pulse) -> None:
--- a/src/godwitbank/_internal/core/runs/delays.py
+++ b/src/godwitbank/_internal/core/runs/delays.py
@@ -4,9 +4,9 @@
 
 from godwitbank._internal.core.events import Send
 from godwitbank._internal.core.runs.events import RunAction
+from godwitbank._internal.core.runs.jobs import Job
 from godwitbank._internal.core.runs.lease import LAPSE_SECONDS
 from godwitbank._internal.core.runs.links import Link
-from godwitbank._internal.core.runs.work import Job
 from godwitbank._internal.models.run_messages import Yield, Yielded
 
 
--- a/src/godwitbank/_internal/core/runs/dispatcher.py
+++ b/src/godwitbank/_internal/core/runs/dispatcher.py
@@ -7,16 +7,24 @@
 from godwitbank._internal.core.counters import Counts
 from godwitbank._internal.core.events import Send
 from godwitbank._internal.core.pressure import Pressure
-from godwitbank._internal.core.runs.admission import COME_BACK, HORIZONS, Admission
+from godwitbank._internal.core.runs.admission import (
+    HORIZONS_SECONDS,
+    RETRY_AFTER_SECONDS,
+    Admission,
+)
 from godwitbank._internal.core.runs.deployment import USUAL, Deployment
-from godwitbank._internal.core.runs.estimates import Estimates
+from godwitbank._internal.core.runs.estimates import RunTimeEstimates
 from godwitbank._internal.core.runs.events import Answer, Note, RunAction
-from godwitbank._internal.core.runs.fleet import ARRIVAL_WAIT, AgentView, Fleet
+from godwitbank._internal.core.runs.fleet import (
+    MIN_ARRIVAL_WAIT_SECONDS,
+    AgentView,
+    Fleet,
+)
+from godwitbank._internal.core.runs.jobs import Job, Task, TaskState
 from godwitbank._internal.core.runs.lease import LAPSE_SECONDS
-from godwitbank._internal.core.runs.placement import Chooser, Place
-from godwitbank._internal.core.runs.policy import DEFAULT, Policy
+from godwitbank._internal.core.runs.placement import AgentChooser, Placement
+from godwitbank._internal.core.runs.policy import DEFAULT_POLICY, Policy
 from godwitbank._internal.core.runs.waiting import WaitingTasks
-from godwitbank._internal.core.runs.work import Job, Task, TaskState
 from godwitbank._internal.models.jobs import JobEnd, JobResult, RunEnd
 from godwitbank._internal.models.run_messages import (
     RunBegun,
@@ -26,7 +34,7 @@
     StopRun,
 )
 
-LOOKAHEAD = 8
+MAX_UNPLACED_TASKS = 8
 """Waiting tasks looked at in one go; behind that many that found no place the
 rest is as unlikely to find one."""
 
@@ -34,11 +42,11 @@
 """Times a task is moved because it was slow. What was expected of it may be wrong, and
 it would be as slow everywhere."""
 
-LATE_RANK = 1000.0
+LATE_RANK_SECONDS = 1000.0
 """Seconds of rank behind every timely task; what has been late for longer comes
 after what is late for less, as it is less likely to be of use still."""
 
-ROOM_FACTOR = 2
+REMOTE_CAPACITY_FACTOR = 2
 """Multiple of the room that a job of another entry's caller needs that must be free:
 others place there at the same moment."""
 
@@ -67,7 +75,7 @@
         counts: Counts,
         now: float,
         pressure: Pressure,
-        policy: Policy = DEFAULT,
+        policy: Policy = DEFAULT_POLICY,
         deployment: Deployment = USUAL,
     ) -> None:
         self._deployment = deployment
@@ -76,22 +84,22 @@
         self._booted_at = now
         self.jobs: dict[str, Job] = {}
         self.fleet = Fleet(deployment.arrival_seconds)
-        self.estimates = Estimates()
+        self.estimates = RunTimeEstimates()
         self.admission = Admission(policy)
-        self.ends_at = math.inf
+        self.shutdown_at = math.inf
         self._zone = zone
         self._rng = rng
         self._counts = counts
-        self.on_gone: Callable[[str], None] = lambda job: None
+        self.on_job_removed: Callable[[str], None] = lambda job: None
         """Told of each job of which nothing is left."""
-        self.is_unsure: Callable[[], bool] = lambda: False
-        self.hand_on: Callable[[Job], bool] = lambda job: False
+        self.may_run_elsewhere: Callable[[], bool] = lambda: False
+        self.try_forward: Callable[[Job], bool] = lambda job: False
         self._waiting: dict[str, WaitingTasks] = {}
         self._limbo: list[Task] = []
         self._now = 0.0
         self._out: Callable[[RunAction], None] = lambda action: None
 
-    def begin(self, now: float, out: Callable[[RunAction], None]) -> None:
+    def begin_event(self, now: float, out: Callable[[RunAction], None]) -> None:
         """Prepare for one event."""
         self._now = now
         self._out = out
@@ -105,9 +113,9 @@
         """Take a job, or refuse it at once if it can't be served in time."""
         guesses = [step.estimate for step in job.spec.steps]
         name = job.queue.name
-        job.lay_out([self._expect(name, guess) for guess in guesses])
+        job.create_tasks([self._expect(name, guess) for guess in guesses])
         refusal = self._find_refusal(job)
-        if refusal in _ROOM_ELSEWHERE and self.hand_on(job):
+        if refusal in _ROOM_ELSEWHERE and self.try_forward(job):
             return
         if refusal is not None:
             self.refuse(job, refusal)
@@ -119,53 +127,53 @@
             job.spec.job,
             queue=name,
             priority=job.queue.priority,
-            tasks=sum(job.left),
+            tasks=sum(job.tasks_left),
             objective=round(job.objective, 3),
         )
-        for task in job.list_ready():
+        for task in job.list_ready_tasks():
             self._get_waiting(job).add(task)
         self.dispatch(job.queue.service)
 
     def _expect(self, queue: str, guess: float) -> float:
         if not self._policy.mended_estimates:
             return guess
-        return self.estimates.expect(queue, guess)
+        return self.estimates.predict(queue, guess)
 
     def _find_refusal(self, job: Job) -> str | None:
-        if self._now + job.objective > self.ends_at:
+        if self._now + job.objective > self.shutdown_at:
             # This process ends before the job would.
             return "stopping"
         service = job.queue.service
         for step in job.spec.steps:
-            if self.fleet.has_place(service, step):
+            if self.fleet.fits_any_agent(service, step):
                 continue
-            if self.fleet.has_evacuated_place(service, step):
+            if self.fleet.fits_evacuated_agent(service, step):
                 return "evacuated"
-            if self.fleet.list_open(service):
+            if self.fleet.list_accepting_agents(service):
                 return "too_large"
         capacity = self.fleet.measure_capacity(service, self._now)
         young = self._now - self._booted_at < self._deployment.arrival_seconds
-        if not capacity and (young or self.fleet.is_coming(self._now)):
+        if not capacity and (young or self.fleet.awaits_endpoint(self._now)):
             # Agents will be here and know their endpoints within a second or so. A
             # job that can't wait that long would be late, and take room from others.
-            waits = job.rank - self._now >= ARRIVAL_WAIT
+            waits = job.rank - self._now >= MIN_ARRIVAL_WAIT_SECONDS
             return None if waits or not self._policy.arrival_bound else "arriving"
-        if job.adopted and self._has_room_now(job):
+        if job.has_remote_caller and self._has_room_now(job):
             # What waits elsewhere waits for other agents' room.
             return None
         own = self.measure_backlog()
         tasks = self._get_waiting(job).count
-        return self.admission.judge(job, own, tasks, capacity, self._now)
+        return self.admission.find_refusal(job, own, tasks, capacity, self._now)
 
     def _has_room_now(self, job: Job) -> bool:
         """Tell whether there is room for a job twice over, and nothing waits for it."""
         if self._get_waiting(job).count:
             return False
-        views = self.fleet.list_open(job.queue.service)
+        views = self.fleet.list_accepting_agents(job.queue.service)
         step = max(job.spec.steps, key=lambda each: each.needs.cpu)
         cpu = max(step.needs.cpu, 1)
         room = sum(max(view.free.cpu, 0) // cpu for view in views)
-        return room >= ROOM_FACTOR * step.width
+        return room >= REMOTE_CAPACITY_FACTOR * step.width
 
     def refuse(self, job: Job, reason: str) -> None:
         """Answer that a job was not taken, and has not run if that is so."""
@@ -181,7 +189,7 @@
             waiting=self._get_waiting(job).count,
         )
         end = JobEnd.GIVEN_UP if job.ran else JobEnd.REFUSED
-        result = JobResult(job.spec.job, end, reason, job.ran, COME_BACK)
+        result = JobResult(job.spec.job, end, reason, job.ran, RETRY_AFTER_SECONDS)
         for caller in job.callers:
             self._out(Answer(caller, result))
 
@@ -193,10 +201,10 @@
         return found
 
     def measure_backlog(self) -> list[float]:
-        """Tell the core-seconds of work that waits here, by ``HORIZONS``."""
-        totals = [0.0] * len(HORIZONS)
+        """Tell the core-seconds of work that waits here, by ``HORIZONS_SECONDS``."""
+        totals = [0.0] * len(HORIZONS_SECONDS)
         for waiting in self._waiting.values():
-            timely = waiting.measure_timely(HORIZONS, self._now)
+            timely = waiting.measure_timely_work(HORIZONS_SECONDS, self._now)
             totals = [sum(pair) for pair in zip(totals, timely, strict=True)]
         return totals
 
@@ -206,7 +214,9 @@
             return
         end = JobEnd.GIVEN_UP if job.ran else JobEnd.REFUSED
         self._counts.add("jobs_given_up", reason)
-        self._finish(job, JobResult(job.spec.job, end, reason, job.ran, COME_BACK))
+        self._finish(
+            job, JobResult(job.spec.job, end, reason, job.ran, RETRY_AFTER_SECONDS)
+        )
 
     def _finish(self, job: Job, result: JobResult) -> None:
         job.ending = True
@@ -229,7 +239,7 @@
 
     def _abandon(self, task: Task) -> None:
         if task.state is TaskState.WAITING:
-            self._get_waiting(task.job).drop()
+            self._get_waiting(task.job).mark_removed()
             task.state = TaskState.DONE
         elif task.state is TaskState.BLOCKED:
             task.state = TaskState.DONE
@@ -241,11 +251,11 @@
 
     def _check_gone(self, job: Job) -> None:
         """Forget an ended job once nothing of it can run any more."""
-        if job.ending and not job.list_open() and not job.ended:
+        if job.ending and not job.list_active_tasks() and not job.ended:
             job.ended = True
             if self.jobs.get(job.spec.job) is job:
                 del self.jobs[job.spec.job]
-                self.on_gone(job.spec.job)
+                self.on_job_removed(job.spec.job)
 
     # Placing
 
@@ -258,27 +268,27 @@
         if waiting is None or not waiting.count:
             return
         if only is None:
-            views = self.fleet.list_open(service)
+            views = self.fleet.list_accepting_agents(service)
         else:
-            views = [only] if only.open else []
+            views = [only] if only.accepts_runs else []
         unplaced: list[Task] = []
-        while views and len(unplaced) < LOOKAHEAD:
-            task = waiting.take(self._now)
+        while views and len(unplaced) < MAX_UNPLACED_TASKS:
+            task = waiting.pop(self._now)
             if task is None:
                 break
             place = self._choose_place(task, views)
             if place is None:
                 unplaced.append(task)
                 continue
-            waiting.drop()
+            waiting.mark_removed()
             for passed in unplaced:
                 passed.passed_over += 1
             self._send(task, place.view, place.parked)
         waiting.put_back(unplaced)
 
-    def _choose_place(self, task: Task, views: list[AgentView]) -> Place | None:
+    def _choose_place(self, task: Task, views: list[AgentView]) -> Placement | None:
         away = self._deployment.away_factor
-        chooser = Chooser(self._zone, self._rng, self._now, self._policy, away)
+        chooser = AgentChooser(self._zone, self._rng, self._now, self._policy, away)
         return chooser.choose(task, views)
 
     def _send(self, task: Task, view: AgentView, parked: bool) -> None:
@@ -287,8 +297,8 @@
         task.agent = view.address
         task.sent_at = self._now
         task.job.ran = True
-        view.add(task, parked, self._now)
-        rules = task.rules
+        view.record_start(task, parked, self._now)
+        rules = task.step_spec
         self._counts.add("runs_sent", "parked" if parked else "placed")
         self._note("run_sent", task.name, run=task.run, agent=view.address, park=parked)
         order = StartRun(
@@ -310,7 +320,7 @@
         if not self._policy.late_last:
             return left
         # Late work lets all timely work pass, at the agent too.
-        return left if left >= 0 else LATE_RANK - left
+        return left if left >= 0 else LATE_RANK_SECONDS - left
 
     # Evacuated zones
 
@@ -329,23 +339,23 @@
 
     def _is_stranded(self, job: Job) -> bool:
         service = job.queue.service
-        return self.fleet.has_evacuated and any(
-            not self.fleet.has_place(service, rules)
-            and self.fleet.has_evacuated_place(service, rules)
+        return self.fleet.has_evacuated_zones and any(
+            not self.fleet.fits_any_agent(service, rules)
+            and self.fleet.fits_evacuated_agent(service, rules)
             for rules, tasks in zip(job.spec.steps, job.tasks, strict=True)
             if any(task.state in _UNPLACED for task in tasks)
         )
 
     # Outcomes
 
-    def hear_begun(self, view: AgentView, message: RunBegun) -> None:
+    def handle_run_begun(self, view: AgentView, message: RunBegun) -> None:
         """Note that a run no longer waits at its agent."""
         task = view.tasks.get(message.task)
         if task is not None and task.run == message.run:
-            view.begin(task)
+            view.mark_begun(task)
             self.dispatch(view.service, view)
 
-    def hear_slow(self, view: AgentView, message: RunSlow) -> None:
+    def handle_run_slow(self, view: AgentView, message: RunSlow) -> None:
         """Move a slow run, if there is room for it elsewhere now.
 
         What it has done so far is lost. While work waits for room that would make
@@ -360,22 +370,30 @@
         if task.moves >= MAX_MOVES or self._get_waiting(task.job).count:
             return
         task.avoid.add(view.address)
-        views = [each for each in self.fleet.list_open(service) if each is not view]
+        views = [
+            each
+            for each in self.fleet.list_accepting_agents(service)
+            if each is not view
+        ]
         place = self._choose_place(task, views)
-        if place is None or place.parked or place.view.factor >= view.factor:
+        if (
+            place is None
+            or place.parked
+            or place.view.slowdown_factor >= view.slowdown_factor
+        ):
             return
         task.moves += 1
         self._counts.add("task_moves")
         self._note("run_moved", task.name, run=task.run, agent=view.address)
         self._out(Send(view.stream, StopRun(task.name, task.run)))
 
-    def hear_outcome(self, view: AgentView, message: RunOutcome) -> None:
+    def handle_run_outcome(self, view: AgentView, message: RunOutcome) -> None:
         """Act on the end of a run."""
         task = self._find_task(view, message)
         if task is None:
             self._counts.add("outcomes_dropped")
             return
-        view.remove(task)
+        view.remove_run(task)
         task.agent = ""
         end = RunEnd(message.end)
         self._counts.add("outcomes", end)
@@ -401,10 +419,10 @@
 
     def _judge(self, view: AgentView, task: Task, end: RunEnd, elapsed: float) -> None:
         if end is RunEnd.DONE:
-            view.health.note_done(elapsed, task.expected)
+            view.health.record_success(elapsed, task.expected)
             self.estimates.observe(task.job.queue.name, elapsed)
         elif end in (RunEnd.FAILED, RunEnd.STALLED, RunEnd.UNHEALTHY):
-            ejected = view.health.note_failed(task.job.spec.job, self._now)
+            ejected = view.health.record_failure(task.job.spec.job, self._now)
             if ejected and not self._policy.ejection:
                 view.health.clear()
             elif ejected:
@@ -438,13 +456,13 @@
     def _complete(self, task: Task) -> None:
         job = task.job
         task.state = TaskState.DONE
-        job.left[task.step] -= 1
-        if not any(job.left):
+        job.tasks_left[task.step] -= 1
+        if not any(job.tasks_left):
             result = JobResult(job.spec.job, JobEnd.COMPLETED, "", True)
             self._finish(job, result)
             return
-        if job.left[task.step] == 0:
-            for ready in job.list_ready():
+        if job.tasks_left[task.step] == 0:
+            for ready in job.list_ready_tasks():
                 self._get_waiting(job).add(ready)
 
     def _fail(self, task: Task, agent: str) -> None:
@@ -466,13 +484,13 @@
 
     # Agents that come and go
 
-    def lose_view(self, view: AgentView) -> None:
+    def handle_agent_loss(self, view: AgentView) -> None:
         """Leave the runs of an agent without a stream in limbo."""
         self.fleet.remove(view, self._now)
         for task in list(view.tasks.values()):
-            view.remove(task)
-            task.state = TaskState.LIMBO
-            task.free_at = self._now + LAPSE_SECONDS
+            view.remove_run(task)
+            task.state = TaskState.ORPHANED
+            task.lapses_at = self._now + LAPSE_SECONDS
             self._limbo.append(task)
 
     def reconcile(self, view: AgentView, held: list[str]) -> None:
@@ -482,11 +500,11 @@
             if task.name in names:
                 self._limbo.remove(task)
                 task.state = TaskState.SENT
-                view.take(task, self._now)
+                view.add_run(task, self._now)
             elif view.news is not None and view.news.settled:
                 self._release(task)
 
-    def settle_agent(self, view: AgentView) -> None:
+    def release_orphaned_runs(self, view: AgentView) -> None:
         """Free what was in limbo at an agent that was started anew."""
         for task in [each for each in self._limbo if each.agent == view.address]:
             self._release(task)
@@ -497,20 +515,20 @@
         self._note("run_lost", task.name, run=task.run, agent=task.agent)
         agent = task.agent
         task.agent = ""
-        if self.is_unsure():
+        if self.may_run_elsewhere():
             self.give_up(task.job, "cut_off")
         self._settle(task, RunEnd.LOST, agent)
 
     def _is_hopeless(self, job: Job) -> bool:
-        if self.admission.is_hopeless(job, self._now):
+        if self.admission.is_too_late(job, self._now):
             return True
         # With no endpoint there it will only get later; its caller may act now.
         late = self._now > job.rank and self._policy.arrival_bound
-        return late and not self.fleet.list_open(job.queue.service)
+        return late and not self.fleet.list_accepting_agents(job.queue.service)
 
-    def check_times(self) -> None:
+    def check_deadlines(self) -> None:
         """Act on deadlines and on runs that must have lapsed by now."""
-        for task in [each for each in self._limbo if each.free_at <= self._now]:
+        for task in [each for each in self._limbo if each.lapses_at <= self._now]:
             self._release(task)
         for job in list(self.jobs.values()):
             if job.ending:
--- a/src/godwitbank/_internal/core/runs/entry.py
+++ b/src/godwitbank/_internal/core/runs/entry.py
@@ -42,7 +42,7 @@
 from godwitbank._internal.core.runs.handover import Handover
 from godwitbank._internal.core.runs.intake import Intake
 from godwitbank._internal.core.runs.links import Link, Links
-from godwitbank._internal.core.runs.policy import DEFAULT, Policy
+from godwitbank._internal.core.runs.policy import DEFAULT_POLICY, Policy
 from godwitbank._internal.core.runs.routes import RouteTable
 from godwitbank._internal.models.jobs import (
     Configuration,
@@ -110,7 +110,7 @@
         rng: Random,
         now: float,
         counts: Counts | None = None,
-        policy: Policy = DEFAULT,
+        policy: Policy = DEFAULT_POLICY,
         entries_per_agent: int = ENTRIES_PER_AGENT,
         deployment: Deployment = USUAL,
     ) -> None:
@@ -137,11 +137,11 @@
             rng,
             identity.zone,
         )
-        self.dispatcher.hand_on = self.forwarding.try_forward_for_room
+        self.dispatcher.try_forward = self.forwarding.try_forward_for_room
         self.forwarding.find_home = self.handover.find_home
         self.forwarding.acquire = self.handover.acquire_at_once
         self.forwarding.resubmit = self.handover.submit_contested
-        self.forwarding.on_gone = self.dispatcher.on_gone
+        self.forwarding.on_gone = self.dispatcher.on_job_removed
         self.forwarding.on_left = self.handover.leave_to
         self.handover.join = self.forwarding.join_at
         self.handover.has_handed_on = self.forwarding.has_handed_on
@@ -164,7 +164,7 @@
             ConfigurationRead: self._read_configuration,
             EvacuationRead: self._read_evacuation,
             JobSubmitted: self.intake.submit,
-            CallerGone: self.intake.lose_caller,
+            CallerGone: self.intake.handle_caller_loss,
             JobCancelled: self.intake.cancel,
             StreamOpened: self._open,
             StreamClosed: self._close,
@@ -174,9 +174,9 @@
             Tick: self._tick,
         }
         self._agent_receivers: dict[type, Callable] = {
-            RunOutcome: self.dispatcher.hear_outcome,
-            RunBegun: self.dispatcher.hear_begun,
-            RunSlow: self.dispatcher.hear_slow,
+            RunOutcome: self.dispatcher.handle_run_outcome,
+            RunBegun: self.dispatcher.handle_run_begun,
+            RunSlow: self.dispatcher.handle_run_slow,
             Room: self._hear_room,
             EndpointNews: self._hear_news,
             Holding: self._hear_holding,
@@ -191,32 +191,32 @@
             Peers: self._hear_peers,
             Took: self.handover.hear_took,
             Yield: self.handover.hear_yield,
-            Yielded: self.intake.hear_yielded,
+            Yielded: self.intake.handle_yielded,
             Acquire: self.handover.hear_acquire,
             Acquired: self.handover.hear_acquired,
             Release: self.handover.hear_release,
-            Join: self.intake.hear_join,
+            Join: self.intake.handle_join,
             Locate: self.handover.whereabouts.hear_locate,
             Located: self.handover.whereabouts.hear_located,
             Goodbye: self._hear_goodbye,
-            Forward: self.intake.hear_forward,
+            Forward: self.intake.handle_forward,
             Forwarded: self.forwarding.hear_result,
-            Withdraw: self.intake.hear_withdraw,
+            Withdraw: self.intake.handle_withdraw,
         }
 
     def handle(self, event: object, now: float) -> list[RunAction]:
         """Take one event and return what has to be done."""
         self._now = now
         self._out = []
-        self.dispatcher.begin(now, self._out.append)
+        self.dispatcher.begin_event(now, self._out.append)
         self.handover.begin(now, self._out.append)
-        self.intake.begin(now, self._out.append)
+        self.intake.begin_event(now, self._out.append)
         if self.links.begin(now):
             self._wake()
         self._handlers[type(event)](event)
         self.handover.check()
         self._check_quiet()
-        actions = self.intake.route(self._out)
+        actions = self.intake.route_answers(self._out)
         self.links.note_sent(actions, now)
         return actions
 
@@ -258,7 +258,11 @@
             "jobs": len(self.dispatcher.jobs),
             "lag": round(self.pressure.lag, 3),
             "agents": [
-                {"agent": view.address, "open": view.open, "free": list(view.free)}
+                {
+                    "agent": view.address,
+                    "open": view.accepts_runs,
+                    "free": list(view.free),
+                }
                 for view in self.dispatcher.fleet.views.values()
             ],
             "peers": [link.hello.process for link in self.links.list_peers()],
@@ -322,7 +326,7 @@
     def _count_entries(self) -> None:
         entries = len(self.links.list_peers()) + 1
         overlap = min(1.0, self._entries_per_agent / entries)
-        self.dispatcher.admission.overlap = overlap
+        self.dispatcher.admission.agent_overlap = overlap
 
     def _open_agent(self, link: Link) -> None:
         hello = link.hello
@@ -344,14 +348,14 @@
         self._note("stream_lost", role=link.hello.role, process=link.hello.process)
         view = self.dispatcher.fleet.views.get(event.stream)
         if view is not None:
-            self.dispatcher.lose_view(view)
+            self.dispatcher.handle_agent_loss(view)
             return
         self.handover.whereabouts.drop_stream(event.stream)
         if self.links.find(link.hello.incarnation) is None:
             self.handover.lose_peer(link)
             self._count_entries()
-            self.dispatcher.admission.forget(link.hello.incarnation)
-        self.intake.drop_stream(event.stream)
+            self.dispatcher.admission.forget_peer(link.hello.incarnation)
+        self.intake.handle_stream_loss(event.stream)
         self.handover.drop_stream(event.stream)
 
     def _wake(self) -> None:
@@ -388,16 +392,16 @@
     # Agents
 
     def _hear_room(self, view: AgentView, room: Room) -> None:
-        view.hear_room(room)
+        view.update_free_capacity(room)
         self.dispatcher.dispatch(view.service, view)
 
     def _hear_news(self, view: AgentView, news: EndpointNews) -> None:
         if view.news is not None and view.news.instance != news.instance:
             view.health.clear()
-        self.dispatcher.fleet.hear_news(view, news)
+        self.dispatcher.fleet.update_endpoint(view, news)
         self._note("endpoint_news", agent=view.address, open=news.open)
         if news.settled:
-            self.dispatcher.settle_agent(view)
+            self.dispatcher.release_orphaned_runs(view)
         self.dispatcher.dispatch(view.service)
 
     def _hear_agents_pulse(self, view: AgentView, pulse: Pulse) -> None:
@@ -422,7 +426,9 @@
     def _hear_pulse(self, link: Link, pulse: Pulse) -> None:
         link.lag = pulse.lag
         link.hear_clock(pulse.clock, self._now)
-        self.dispatcher.admission.hear(link.hello.incarnation, pulse.backlog)
+        self.dispatcher.admission.update_peer_backlog(
+            link.hello.incarnation, pulse.backlog
+        )
 
     def _hear_goodbye(self, link: Link, message: Goodbye) -> None:
         del message
@@ -501,7 +507,7 @@
             self.forwarding.give_up_expired()
             self.handover.give_up_expired()
             self.handover.start_delayed()
-            self.dispatcher.check_times()
+            self.dispatcher.check_deadlines()
 
     def _end_silent(self) -> None:
         silent = self.links.list_silent(self._now)
@@ -512,7 +518,7 @@
             self._send(link.stream, Probe(self._now))
 
     def _tell_peers(self, peers: list[Link]) -> None:
-        serves = self.ready and self.dispatcher.fleet.has_open
+        serves = self.ready and self.dispatcher.fleet.has_accepting_agent
         lag = self.pressure.mean if serves else math.inf
         pulse = Pulse(self.dispatcher.measure_backlog(), 1.0, self._now, lag)
         self.handover.tell_peers()
@@ -523,7 +529,7 @@
         del event
         self.stopping = True
         self._stopped_at = self._now
-        self.dispatcher.ends_at = self._now + STOP_SECONDS
+        self.dispatcher.shutdown_at = self._now + STOP_SECONDS
         self._note("stopping", jobs=len(self.dispatcher.jobs))
 
     def _end_jobs(self) -> None:
@@ -536,7 +542,7 @@
     def _check_quiet(self) -> None:
         if not self.stopping or self._quiet:
             return
-        if self._now >= self.dispatcher.ends_at:
+        if self._now >= self.dispatcher.shutdown_at:
             self._end_jobs()
             self._quiet = True
         elif self._now >= self._stopped_at + UNREADY_SECONDS:
@@ -548,5 +554,5 @@
                 # look for any.
                 self._send(link.stream, Goodbye("stopping"))
             # What still arrives is refused, so that nothing is taken and cut.
-            self.dispatcher.ends_at = self._now
+            self.dispatcher.shutdown_at = self._now
             self._out.append(Quiet())
--- a/src/godwitbank/_internal/core/runs/forwarding.py
+++ b/src/godwitbank/_internal/core/runs/forwarding.py
@@ -12,15 +12,15 @@
 from godwitbank._internal.core.counters import Counts
 from godwitbank._internal.core.events import Send
 from godwitbank._internal.core.pressure import Pressure
-from godwitbank._internal.core.runs.admission import COME_BACK, Admission
+from godwitbank._internal.core.runs.admission import RETRY_AFTER_SECONDS, Admission
 from godwitbank._internal.core.runs.events import (
     Answer,
     JobSubmitted,
     Note,
     RunAction,
 )
+from godwitbank._internal.core.runs.jobs import Job
 from godwitbank._internal.core.runs.links import Link, Links
-from godwitbank._internal.core.runs.work import Job
 from godwitbank._internal.models.jobs import JobEnd, JobResult, JobSpec
 from godwitbank._internal.models.run_messages import (
     Forward,
@@ -177,13 +177,13 @@
         An entry meets some of the agents only; with callers spread unevenly its agents
         are full while others' are not. One where nothing waits has room, and the time.
         """
-        if job.adopted:
+        if job.has_remote_caller:
             # It was handed on to here already.
             return False
         idle = [
             link
             for link in self._list_spare()
-            if self._admission.is_idle(link.hello.incarnation)
+            if self._admission.is_peer_idle(link.hello.incarnation)
         ]
         link = self._choose(idle)
         if link is not None:
@@ -265,7 +265,7 @@
         handed = self._handed[job]
         if handed.acquired:
             self.on_left(job, handed.server)
-        result = JobResult(job, JobEnd.GIVEN_UP, reason, True, COME_BACK)
+        result = JobResult(job, JobEnd.GIVEN_UP, reason, True, RETRY_AFTER_SECONDS)
         self._answer(result)
 
     def lose_caller(self, caller: int) -> None:
--- a/src/godwitbank/_internal/core/runs/handover.py
+++ b/src/godwitbank/_internal/core/runs/handover.py
@@ -17,6 +17,7 @@
 from godwitbank._internal.core.runs.events import Note, RunAction
 from godwitbank._internal.core.runs.fleet import AgentView
 from godwitbank._internal.core.runs.homes import HERE, Homes, Request
+from godwitbank._internal.core.runs.jobs import Job
 from godwitbank._internal.core.runs.links import SILENCE, Link, Links
 from godwitbank._internal.core.runs.ownership import (
     CLAIM_SECONDS,
@@ -27,7 +28,6 @@
 from godwitbank._internal.core.runs.readiness import Readiness
 from godwitbank._internal.core.runs.tellings import Tellings
 from godwitbank._internal.core.runs.whereabouts import Whereabouts
-from godwitbank._internal.core.runs.work import Job
 from godwitbank._internal.models.messages import Message
 from godwitbank._internal.models.run_messages import (
     Acquire,
@@ -77,8 +77,8 @@
         self._unsorted: dict[str, Job] = {}
         self._asked: dict[str, Asked] = {}
         self._entries_per_agent = entries_per_agent
-        dispatcher.is_unsure = self.is_unsure
-        dispatcher.on_gone = self._release
+        dispatcher.may_run_elsewhere = self.is_unsure
+        dispatcher.on_job_removed = self._release
         self.whereabouts = Whereabouts(links, self._takings, rng)
         self.homes = Homes(
             links,
@@ -454,7 +454,7 @@
     def _knows_agents(self) -> bool:
         """Whether no agent can run a job that isn't asked for it."""
         young = self._readiness.is_young
-        return not young and not self._dispatcher.fleet.misses(self._now)
+        return not young and not self._dispatcher.fleet.has_lost_agents(self._now)
 
     def _take(self, job: Job) -> None:
         name = job.spec.job
--- a/src/godwitbank/_internal/core/runs/health.py
+++ b/src/godwitbank/_internal/core/runs/health.py
@@ -2,31 +2,31 @@
 
 import math
 
-SPEED_WEIGHT = 0.12
+SLOWNESS_WEIGHT = 0.12
 """Weight of the newest run in an endpoint's slowness; about eight runs count."""
 
 FAILURE_WEIGHT = 0.3
 """Weight of the newest run in an endpoint's failure share."""
 
-EJECT_SHARE = 0.6
+EJECTION_FAILURE_SHARE = 0.6
 """Failure share above which an endpoint gets no work: three failures in a row
 from a clean record, which sound ones (0.2 % of runs fail) practically never
 reach, and a job that can never run doesn't reach alone."""
 
-EJECT_SECONDS = 1.5
+FIRST_EJECTION_SECONDS = 1.5
 """Seconds of the first ejection; doubled with each further one in a row."""
 
-MAX_EJECT_SECONDS = 6.0
+MAX_EJECTION_SECONDS = 6.0
 
-PROBES = 1
+MAX_PROBE_RUNS = 1
 """Runs at once that an endpoint gets after an ejection until one is done."""
 
 
-class Health:
+class EndpointHealth:
     """One endpoint's record at one entry."""
 
     def __init__(self) -> None:
-        self.slowness = 0.0
+        self.log_slowdown = 0.0
         self.failure_share = 0.0
         self.ejected_until = 0.0
         self.probing = False
@@ -34,21 +34,21 @@
         self._ejections = 0
         self._last_job = ""
 
-    def factor(self) -> float:
+    def slowdown_factor(self) -> float:
         """Tell by what factor runs take longer here than elsewhere."""
         return self._factor
 
-    def note_done(self, elapsed: float, expected: float) -> None:
+    def record_success(self, elapsed: float, expected: float) -> None:
         """Note a run that was done, with its run time in seconds."""
         ratio = math.log(max(elapsed, 1e-3) / max(expected, 1e-3))
-        self.slowness += SPEED_WEIGHT * (ratio - self.slowness)
+        self.log_slowdown += SLOWNESS_WEIGHT * (ratio - self.log_slowdown)
         # Read for every agent at every choice, far oftener than runs end.
-        self._factor = math.exp(self.slowness)
+        self._factor = math.exp(self.log_slowdown)
         self.failure_share *= 1 - FAILURE_WEIGHT
         self._ejections = 0
         self.probing = False
 
-    def note_failed(self, job: str, now: float) -> bool:
+    def record_failure(self, job: str, now: float) -> bool:
         """Note a run that failed or stood still.
 
         A job that can never be done fails everywhere; only the first of its
@@ -63,11 +63,11 @@
             return False
         self._last_job = job
         self.failure_share += FAILURE_WEIGHT * (1 - self.failure_share)
-        if self.failure_share < EJECT_SHARE and not self.probing:
+        if self.failure_share < EJECTION_FAILURE_SHARE and not self.probing:
             return False
         self._ejections += 1
-        seconds = EJECT_SECONDS * 2 ** (self._ejections - 1)
-        self.ejected_until = now + min(seconds, MAX_EJECT_SECONDS)
+        seconds = FIRST_EJECTION_SECONDS * 2 ** (self._ejections - 1)
+        self.ejected_until = now + min(seconds, MAX_EJECTION_SECONDS)
         self.probing = True
         return True
 
@@ -75,8 +75,8 @@
         """Forget the record; another boot may be of another kind."""
         self.__init__()  # type: ignore[misc]
 
-    def allows(self, runs: int, now: float) -> bool:
+    def allows_run(self, runs: int, now: float) -> bool:
         """Tell whether another run may be sent beside ``runs`` at work."""
         if now < self.ejected_until:
             return False
-        return not self.probing or runs < PROBES
+        return not self.probing or runs < MAX_PROBE_RUNS
--- a/src/godwitbank/_internal/core/runs/held.py
+++ b/src/godwitbank/_internal/core/runs/held.py
@@ -4,7 +4,7 @@
 from collections import Counter
 from enum import Enum, auto
 
-from godwitbank._internal.core.runs.progress import Progress
+from godwitbank._internal.core.runs.progress import RunProgress
 from godwitbank._internal.models.resources import Resources
 from godwitbank._internal.models.run_messages import StartRun
 
@@ -47,7 +47,7 @@
         self.arrived_at = now
         self.ordered_at = now
         self.token = 0
-        self.progress = Progress(now)
+        self.progress = RunProgress(now)
         self.passed_over = 0
         self.stop_reason = ""
         self.stopped_at = 0.0
--- a/src/godwitbank/_internal/core/runs/intake.py
+++ b/src/godwitbank/_internal/core/runs/intake.py
@@ -4,7 +4,7 @@
 
 from godwitbank._internal.core.counters import Counts
 from godwitbank._internal.core.pressure import Pressure
-from godwitbank._internal.core.runs.admission import COME_BACK
+from godwitbank._internal.core.runs.admission import RETRY_AFTER_SECONDS
 from godwitbank._internal.core.runs.adoption import Adoption
 from godwitbank._internal.core.runs.dispatcher import Dispatcher
 from godwitbank._internal.core.runs.events import (
@@ -17,9 +17,9 @@
 )
 from godwitbank._internal.core.runs.forwarding import Forwarding
 from godwitbank._internal.core.runs.handover import Handover
+from godwitbank._internal.core.runs.jobs import Job
 from godwitbank._internal.core.runs.links import Link
 from godwitbank._internal.core.runs.routes import RouteTable
-from godwitbank._internal.core.runs.work import Job
 from godwitbank._internal.models.jobs import JobEnd, JobResult
 from godwitbank._internal.models.run_messages import (
     Forward,
@@ -51,7 +51,7 @@
         self._now = 0.0
         self._out: Callable[[RunAction], None] = lambda action: None
 
-    def begin(self, now: float, out: Callable[[RunAction], None]) -> None:
+    def begin_event(self, now: float, out: Callable[[RunAction], None]) -> None:
         """Prepare for one event."""
         self._now = now
         self._out = out
@@ -63,7 +63,7 @@
         here = bool(self._dispatcher.jobs) or self._handover.busy
         return here or self._forwarding.busy
 
-    def has(self, job: str) -> bool:
+    def has_job(self, job: str) -> bool:
         """Tell whether a job is in flight here, or at another entry for this one."""
         return job in self._dispatcher.jobs or self._forwarding.has(job)
 
@@ -118,10 +118,10 @@
         job = event.spec.job
         lag = round(self._pressure.lag, 3)
         self._out(Note("job_refused", job, {"reason": reason, "lag": lag}))
-        result = JobResult(job, JobEnd.REFUSED, reason, False, COME_BACK)
+        result = JobResult(job, JobEnd.REFUSED, reason, False, RETRY_AFTER_SECONDS)
         self._out(Answer(event.caller, result))
 
-    def lose_caller(self, event: CallerGone) -> None:
+    def handle_caller_loss(self, event: CallerGone) -> None:
         """Give up what only a caller who is gone waits for."""
         self._forwarding.lose_caller(event.caller)
         self._handover.lose_caller(event.caller)
@@ -139,11 +139,11 @@
         if job is not None:
             self._dispatcher.give_up(job, "cancelled")
 
-    def hear_forward(self, link: Link, message: Forward) -> None:
+    def handle_forward(self, link: Link, message: Forward) -> None:
         """Take a job of another entry's caller."""
         self.submit(self._adoption.adopt(link.stream, message), message.acquired)
 
-    def hear_join(self, link: Link, message: Join) -> None:
+    def handle_join(self, link: Link, message: Join) -> None:
         """Let a caller of another entry wait for a job, if it is here."""
         name = message.job
         known = self._find_known(name)
@@ -156,22 +156,22 @@
         else:
             self._handover.hear_join(link, name)
 
-    def hear_yielded(self, link: Link, message: Yielded) -> None:
+    def handle_yielded(self, link: Link, message: Yielded) -> None:
         """Go on with a job that another entry doesn't have, or no longer."""
         self._handover.hear_yielded(link, message)
         self._forwarding.hear_yielded(link.stream, message.job)
 
-    def hear_withdraw(self, link: Link, message: Withdraw) -> None:
+    def handle_withdraw(self, link: Link, message: Withdraw) -> None:
         """Give up a job that another entry's caller no longer waits for."""
         for gone in self._adoption.withdraw(link.stream, message.job):
-            self.lose_caller(gone)
+            self.handle_caller_loss(gone)
 
-    def drop_stream(self, stream: int) -> None:
+    def handle_stream_loss(self, stream: int) -> None:
         """Note that a stream to another entry ended, in both roles."""
         self._forwarding.lose_stream(stream)
         for gone in self._adoption.drop_stream(stream):
-            self.lose_caller(gone)
+            self.handle_caller_loss(gone)
 
-    def route(self, actions: Iterable[RunAction]) -> list[RunAction]:
+    def route_answers(self, actions: Iterable[RunAction]) -> list[RunAction]:
         """Turn answers to callers of other entries into messages."""
         return self._adoption.route(actions)
--- a/src/godwitbank/_internal/core/runs/work.py
+++ b/src/godwitbank/_internal/core/runs/jobs.py
@@ -8,13 +8,13 @@
 class TaskState(Enum):
     """Where a task stands.
 
-    ``LIMBO``: its agent can't be reached; the run there may still be alive.
+    ``ORPHANED``: its agent can't be reached; the run there may still be alive.
     """
 
     BLOCKED = auto()
     WAITING = auto()
     SENT = auto()
-    LIMBO = auto()
+    ORPHANED = auto()
     DONE = auto()
 
 
@@ -33,7 +33,7 @@
         "checkpoint",
         "expected",
         "parked",
-        "free_at",
+        "lapses_at",
         "sent_at",
         "moves",
         "passed_over",
@@ -51,20 +51,20 @@
         self.checkpoint = ""
         self.expected = expected
         self.parked = False
-        self.free_at = 0.0
+        self.lapses_at = 0.0
         self.sent_at = 0.0
         self.moves = 0
         self.passed_over = 0
 
     @property
-    def rules(self) -> StepSpec:
+    def step_spec(self) -> StepSpec:
         """What was submitted for the task's step."""
         return self.job.spec.steps[self.step]
 
     @property
-    def work(self) -> float:
+    def core_seconds(self) -> float:
         """Expected core-seconds of the task."""
-        return self.expected * self.rules.needs.cpu / 1000
+        return self.expected * self.step_spec.needs.cpu / 1000
 
 
 class Job:
@@ -82,7 +82,7 @@
         "objective",
         "rank",
         "tasks",
-        "left",
+        "tasks_left",
         "ran",
         "ending",
         "contested",
@@ -100,13 +100,13 @@
         self.objective = 0.0
         self.rank = 0.0
         self.tasks: list[list[Task]] = []
-        self.left: list[int] = [step.width for step in spec.steps]
+        self.tasks_left: list[int] = [step.width for step in spec.steps]
         self.ran = False
         self.ending = False
         self.contested = False
         self.ended = False
 
-    def lay_out(self, expected: list[float]) -> None:
+    def create_tasks(self, expected: list[float]) -> None:
         """Make the tasks, and set when they should start at the latest.
 
         :param expected: seconds expected of a run, for each step.
@@ -128,27 +128,27 @@
         return max(ends)
 
     @property
-    def adopted(self) -> bool:
+    def has_remote_caller(self) -> bool:
         """Whether its caller came to another entry; such callers are below zero."""
         return any(caller < 0 for caller in self.callers)
 
     @property
-    def work(self) -> float:
+    def core_seconds(self) -> float:
         """Expected core-seconds of the whole job."""
-        return sum(task.work for step in self.tasks for task in step)
+        return sum(task.core_seconds for step in self.tasks for task in step)
 
-    def list_ready(self) -> list[Task]:
+    def list_ready_tasks(self) -> list[Task]:
         """List the blocked tasks whose earlier steps are done."""
         ready = []
         for position, step in enumerate(self.spec.steps):
-            if any(self.left[each] for each in step.after):
+            if any(self.tasks_left[each] for each in step.after):
                 continue
             ready += [
                 task for task in self.tasks[position] if task.state is TaskState.BLOCKED
             ]
         return ready
 
-    def list_open(self) -> list[Task]:
+    def list_active_tasks(self) -> list[Task]:
         """List the tasks of which a run may be alive."""
-        alive = (TaskState.SENT, TaskState.LIMBO)
+        alive = (TaskState.SENT, TaskState.ORPHANED)
         return [task for step in self.tasks for task in step if task.state in alive]
--- a/src/godwitbank/_internal/core/runs/policy.py
+++ b/src/godwitbank/_internal/core/runs/policy.py
@@ -41,7 +41,7 @@
     """Let less wait before a large job of a queue than before a small one."""
 
     drain_bound: bool = True
-    """Refuse while more waits than drains in ``MAX_DRAIN``."""
+    """Refuse while more waits than drains in ``MAX_DRAIN_SECONDS``."""
 
 
-DEFAULT = Policy()
+DEFAULT_POLICY = Policy()
--- a/src/godwitbank/_internal/core/runs/progress.py
+++ b/src/godwitbank/_internal/core/runs/progress.py
@@ -13,19 +13,19 @@
 seconds moves several times in this span.
 """
 
-STALL_FACTOR = 10.0
+STALL_EXPECTED_PERCENT = 10.0
 """Expected seconds for one percent of progress that must have passed, too."""
 
-WINDOW_SECONDS = 0.25
+RATE_WINDOW_SECONDS = 0.25
 """Seconds over which a rate is taken: two renewals. Shorter ones are blurred by the
 whole percents, longer ones notice a slow endpoint late."""
 
-MIN_JOBS = 3
+MIN_SAMPLED_JOBS = 3
 """Jobs whose runs it takes to call an endpoint slow. What is expected of one job is
 wrong by 40 % and more, for all its runs alike; the median of three is rarely wrong by
 ``SLOW_FACTOR``."""
 
-FADE_SECONDS = 2.0
+SLOWNESS_DECAY_SECONDS = 2.0
 """Seconds in which a slowness that nothing confirms fades to a third. An endpoint that
 is forgotten at once gets new work after each move, which is then late; one that is
 remembered for long stays idle after it is well."""
@@ -33,19 +33,19 @@
 SLOW_FACTOR = 2.0
 """Slowness from which runs are moved; above what sound kinds of endpoint differ by."""
 
-MOVE_SECONDS = 0.2
+MOVE_COST_SECONDS = 0.2
 """Seconds a move costs: until the run has stopped, the way to another agent, and some
 waiting there."""
 
 
-class Progress:
+class RunProgress:
     """How far one run is, as told by renewals."""
 
-    __slots__ = ("percent", "moved_at", "rate", "_mark", "_mark_at", "_told_at")
+    __slots__ = ("percent", "last_progress_at", "rate", "_mark", "_mark_at", "_told_at")
 
     def __init__(self, now: float) -> None:
         self.percent = 0
-        self.moved_at = now
+        self.last_progress_at = now
         self.rate: float | None = None
         """Share of the whole run done in a second; ``None`` before it is known."""
         self._mark = 0
@@ -54,14 +54,14 @@
 
     def restart(self, now: float) -> None:
         """Count from now: the run is ordered at the endpoint."""
-        self.moved_at = self._mark_at = now
+        self.last_progress_at = self._mark_at = now
 
-    def hear(self, percent: int, now: float) -> None:
+    def update(self, percent: int, now: float) -> None:
         """Note what a renewal told."""
         if percent != self.percent:
             self.percent = percent
-            self.moved_at = now
-        if now - self._mark_at >= WINDOW_SECONDS:
+            self.last_progress_at = now
+        if now - self._mark_at >= RATE_WINDOW_SECONDS:
             self.rate = (percent - self._mark) / 100 / (now - self._mark_at)
             self._mark = percent
             self._mark_at = now
@@ -71,14 +71,17 @@
 
         :param expected: run time expected, in seconds.
         """
-        return now - self.moved_at > STALL_SECONDS + STALL_FACTOR * expected / 100
+        return (
+            now - self.last_progress_at
+            > STALL_SECONDS + STALL_EXPECTED_PERCENT * expected / 100
+        )
 
-    def should_tell_slow(self, slowness: float, now: float) -> bool:
+    def should_report_slow(self, slowness: float, now: float) -> bool:
         """Tell whether a run is to be offered for a move, once in a window.
 
         :param slowness: how many times as long runs take at this endpoint.
         """
-        if now - self._told_at < WINDOW_SECONDS or not self._is_slow(slowness):
+        if now - self._told_at < RATE_WINDOW_SECONDS or not self._is_slow(slowness):
             return False
         self._told_at = now
         return True
@@ -88,14 +91,14 @@
             return False
         left_here = (1 - self.percent / 100) / self.rate
         anew_elsewhere = 1 / self.rate / slowness
-        return left_here > anew_elsewhere + MOVE_SECONDS
+        return left_here > anew_elsewhere + MOVE_COST_SECONDS
 
 
-class Sample(NamedTuple):
+class ProgressSample(NamedTuple):
     """One run's progress and what was expected of it."""
 
     job: str
-    progress: Progress
+    progress: RunProgress
     expected: float
 
 
@@ -110,19 +113,19 @@
         self._measured = 1.0
         self._measured_at = now
 
-    def hear(self, samples: Iterable[Sample], now: float) -> None:
+    def update(self, samples: Iterable[ProgressSample], now: float) -> None:
         """Note the progress of what runs there."""
         ratios: dict[str, list[float]] = defaultdict(list)
         for job, progress, expected in samples:
             if progress.rate:
                 ratios[job].append(1 / progress.rate / max(expected, 1e-3))
         # A single run shows that a slow endpoint is well again: few are sent there.
-        enough = MIN_JOBS if self._measured < SLOW_FACTOR else 1
+        enough = MIN_SAMPLED_JOBS if self._measured < SLOW_FACTOR else 1
         if len(ratios) >= enough:
             self._measured = median(median(each) for each in ratios.values())
             self._measured_at = now
 
-    def read(self, now: float) -> float:
+    def estimate(self, now: float) -> float:
         """Tell the slowness; 1 unless it is beyond doubt.
 
         It fades: an endpoint that is known to be slow gets hardly any runs that
@@ -130,5 +133,5 @@
         """
         if self._measured < SLOW_FACTOR:
             return 1.0
-        faded = math.exp((self._measured_at - now) / FADE_SECONDS)
+        faded = math.exp((self._measured_at - now) / SLOWNESS_DECAY_SECONDS)
         return 1.0 + (self._measured - 1.0) * faded
--- a/src/godwitbank/_internal/core/runs/runner.py
+++ b/src/godwitbank/_internal/core/runs/runner.py
@@ -28,7 +28,7 @@
 from godwitbank._internal.core.runs.links import Link, Links
 from godwitbank._internal.core.runs.lives import Lives
 from godwitbank._internal.core.runs.outbox import Outbox
-from godwitbank._internal.core.runs.progress import Sample, Slowness
+from godwitbank._internal.core.runs.progress import ProgressSample, Slowness
 from godwitbank._internal.core.runs.verdicts import HoldVerdict, StartVerdict
 from godwitbank._internal.models.jobs import ListedEnd, ListedRun, RunEnd
 from godwitbank._internal.models.messages import Message
@@ -335,10 +335,10 @@
         for held in self.shelf.list_placed():
             row = listed.get(held.order.task)
             if row is not None and row.run == held.order.run:
-                held.progress.hear(row.percent, self._now)
+                held.progress.update(row.percent, self._now)
                 expected = held.order.expected
-                samples.append(Sample(held.job, held.progress, expected))
-        self.slowness.hear(samples, self._now)
+                samples.append(ProgressSample(held.job, held.progress, expected))
+        self.slowness.update(samples, self._now)
 
     def _is_gone(self, held: HeldRun, token: int, issued_at: float) -> bool:
         if held.state is RunState.DOUBTFUL:
@@ -361,10 +361,10 @@
             self._stop_if_hopeless(held)
 
     def _stop_if_hopeless(self, held: HeldRun) -> None:
-        slowness = self.slowness.read(self._now)
+        slowness = self.slowness.estimate(self._now)
         if held.progress.is_stalled(held.order.expected, self._now):
             self._end_by_order(held, RunEnd.STALLED)
-        elif held.progress.should_tell_slow(slowness, self._now):
+        elif held.progress.should_report_slow(slowness, self._now):
             link = self._links.find(held.owner)
             if link is not None:
                 self._send(link.stream, RunSlow(held.order.task, held.order.run))
--- a/src/godwitbank/_internal/core/runs/waiting.py
+++ b/src/godwitbank/_internal/core/runs/waiting.py
@@ -8,10 +8,10 @@
 import heapq
 from typing import NamedTuple
 
-from godwitbank._internal.core.runs.work import Task, TaskState
+from godwitbank._internal.core.runs.jobs import Task, TaskState
 
 
-class Entry(NamedTuple):
+class QueuedTask(NamedTuple):
     """A task's place in the queue; the sequence keeps equal ranks in order."""
 
     rank: float
@@ -24,8 +24,8 @@
 
     def __init__(self, late_last: bool = True) -> None:
         self._late_last = late_last
-        self._timely: list[Entry] = []
-        self._late: list[Entry] = []
+        self._timely: list[QueuedTask] = []
+        self._late: list[QueuedTask] = []
         self._sequence = 0
         self.count = 0
 
@@ -37,14 +37,14 @@
 
     def _push(self, task: Task) -> None:
         self._sequence += 1
-        entry = Entry(task.job.rank, self._sequence, task)
+        entry = QueuedTask(task.job.rank, self._sequence, task)
         heapq.heappush(self._timely, entry)
 
-    def drop(self) -> None:
+    def mark_removed(self) -> None:
         """Count out a task that no longer waits; its entry is skipped later."""
         self.count -= 1
 
-    def take(self, now: float) -> Task | None:
+    def pop(self, now: float) -> Task | None:
         """Take the next task; if it finds no place it goes back by ``put_back``."""
         while self._timely:
             entry = heapq.heappop(self._timely)
@@ -64,7 +64,9 @@
         for task in tasks:
             self._push(task)
 
-    def measure_timely(self, horizons: tuple[float, ...], now: float) -> list[float]:
+    def measure_timely_work(
+        self, horizons: tuple[float, ...], now: float
+    ) -> list[float]:
         """Tell the core-seconds of work that must start within each horizon.
 
         Work that is late already is left out: it lets others pass.
@@ -75,5 +77,5 @@
                 continue
             for position, horizon in enumerate(horizons):
                 if rank - now <= horizon:
-                    totals[position] += task.work
+                    totals[position] += task.core_seconds
         return totals
--- a/src/godwitbank/_internal/operations/run_entry.py
+++ b/src/godwitbank/_internal/operations/run_entry.py
@@ -8,7 +8,7 @@
 from godwitbank._internal.core.counters import Counts
 from godwitbank._internal.core.events import CloseStream, Dial, Send, StopRequested
 from godwitbank._internal.core.identity import Identity, make_hello
-from godwitbank._internal.core.runs.admission import COME_BACK
+from godwitbank._internal.core.runs.admission import RETRY_AFTER_SECONDS
 from godwitbank._internal.core.runs.deployment import USUAL, Deployment
 from godwitbank._internal.core.runs.entry import RunEntryCore
 from godwitbank._internal.core.runs.events import (
@@ -102,11 +102,13 @@
         lag = round(self.core.pressure.lag, 3)
         fields = {"reason": "no_processor", "lag": lag, "unread": True}
         self._log.write("job_refused", job, fields)
-        return JobResult(job, JobEnd.REFUSED, "no_processor", False, COME_BACK)
+        return JobResult(
+            job, JobEnd.REFUSED, "no_processor", False, RETRY_AFTER_SECONDS
+        )
 
     async def cancel(self, job: str) -> bool:
         """Cancel a job; returns whether it was in flight here."""
-        known = self.core.intake.has(job)
+        known = self.core.intake.has_job(job)
         self._inbox.put(JobCancelled(job))
         await self._inbox.flush()
         return known
--- a/tests/bench/test_lab.py
+++ b/tests/bench/test_lab.py
@@ -9,7 +9,7 @@
 from bench.lab.policies import find_policy
 from bench.lab.scenario import Fault, Scenario
 
-from godwitbank._internal.core.runs.policy import DEFAULT
+from godwitbank._internal.core.runs.policy import DEFAULT_POLICY
 
 FOLDER = Path(scenarios.__file__).parent / "scenarios"
 
@@ -45,9 +45,9 @@
 
 def test_a_seed_is_the_same_demand_for_every_policy_and_stays_below_the_bound() -> None:
     calm = read("base")._replace(load=0.5, seconds=1.5)
-    first = Player(calm, DEFAULT, 5).play()
-    again = Player(calm, DEFAULT, 5).play()
-    other = Player(calm, DEFAULT._replace(moves=False), 5).play()
+    first = Player(calm, DEFAULT_POLICY, 5).play()
+    again = Player(calm, DEFAULT_POLICY, 5).play()
+    other = Player(calm, DEFAULT_POLICY._replace(moves=False), 5).play()
     assert first == again
     assert first.bound == pytest.approx(other.bound, abs=0.02)
     assert 0.9 < first.worth <= first.bound
@@ -59,14 +59,14 @@
         seconds=2.0,
         faults=(Fault("kill_entry", 0.5, 1.0), Fault("slow", 0.5, 1.0, 2)),
     )
-    harmed = Player(lost, DEFAULT, 5).play()
-    calm = Player(lost._replace(faults=()), DEFAULT, 5).play()
+    harmed = Player(lost, DEFAULT_POLICY, 5).play()
+    calm = Player(lost._replace(faults=()), DEFAULT_POLICY, 5).play()
     assert harmed.worth < calm.worth
 
 
 def test_policies_are_found_by_what_they_change() -> None:
-    assert find_policy("default") == DEFAULT
-    assert find_policy("no_moves+no_parking") == DEFAULT._replace(
+    assert find_policy("default") == DEFAULT_POLICY
+    assert find_policy("no_moves+no_parking") == DEFAULT_POLICY._replace(
         moves=False, parking=False
     )
     with pytest.raises(AttributeError):
--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -332,8 +332,8 @@
     Break(
         "runs out of reach are started elsewhere at once",
         f"{LEASED}/dispatcher.py",
-        "            task.free_at = self._now + LAPSE_SECONDS",
-        "            task.free_at = self._now",
+        "            task.lapses_at = self._now + LAPSE_SECONDS",
+        "            task.lapses_at = self._now",
         f"{RUNS}/test_failures.py::"
         "test_an_agent_cut_off_alone_loses_its_runs_and_they_go_elsewhere",
     ),
@@ -387,7 +387,7 @@
     Break(
         "a stopping entry takes all that comes",
         f"{LEASED}/dispatcher.py",
-        "if self._now + job.objective > self.ends_at:",
+        "if self._now + job.objective > self.shutdown_at:",
         "if False:",
         f"{RUNS}/test_entry.py::"
         "test_a_stopping_entry_takes_nothing_that_would_outlive_it",
@@ -403,8 +403,8 @@
     Break(
         "one hopeless job ejects endpoints",
         f"{LEASED}/health.py",
-        "EJECT_SHARE = 0.6",
-        "EJECT_SHARE = 0.2",
+        "EJECTION_FAILURE_SHARE = 0.6",
+        "EJECTION_FAILURE_SHARE = 0.2",
         f"{RUNS}/test_failures.py::"
         "test_a_job_that_can_never_be_done_fails_and_ejects_nobody",
     ),
@@ -458,7 +458,7 @@
     Break(
         "late agents get as much work",
         f"{LEASED}/placement.py",
-        "        factor += view.lag / max(task.expected, SHORT_TASK)\n",
+        "        factor += view.lag / max(task.expected, MIN_TASK_SECONDS)\n",
         "",
         f"{RUNS}/test_behind.py::test_agents_without_processor_time_get_less_work",
     ),
@@ -473,7 +473,7 @@
         "jobs handed on outlive their stream",
         f"{LEASED}/intake.py",
         "        for gone in self._adoption.drop_stream(stream):\n"
-        "            self.lose_caller(gone)\n",
+        "            self.handle_caller_loss(gone)\n",
         "",
         f"{RUNS}/test_forwarding.py::"
         "test_runs_end_when_the_entry_that_the_caller_came_to_is_lost",
--- a/tests/core/runs/test_delays.py
+++ b/tests/core/runs/test_delays.py
@@ -1,9 +1,9 @@
 """Jobs that wait until agents have said that others' runs of them are over."""
 
 from godwitbank._internal.core.runs.delays import Delayed
+from godwitbank._internal.core.runs.jobs import Job
 from godwitbank._internal.core.runs.lease import LAPSE_SECONDS
 from godwitbank._internal.core.runs.links import Link
-from godwitbank._internal.core.runs.work import Job
 from godwitbank._internal.models.messages import Hello, Role
 from tests.lib.runs_world import QUEUE, make_job
 
--- a/tests/core/runs/test_entry.py
+++ b/tests/core/runs/test_entry.py
@@ -2,7 +2,7 @@
 
 from godwitbank._internal.core.runs.events import ConfigurationRead
 from godwitbank._internal.models.jobs import Configuration
-from tests.core.runs.test_path import make_world
+from tests.core.runs.test_happy_path import make_world
 from tests.lib.runs_world import QUEUE, make_job
 
 
--- a/tests/core/runs/test_evacuation.py
+++ b/tests/core/runs/test_evacuation.py
@@ -7,7 +7,7 @@
 from godwitbank._internal.core.runs.events import EvacuationRead
 from godwitbank._internal.models.jobs import Evacuation
 from godwitbank._internal.models.run_messages import Evacuated
-from tests.core.runs.test_path import SETTLE_SECONDS
+from tests.core.runs.test_happy_path import SETTLE_SECONDS
 from tests.lib.runs_world import RunsWorld, make_job
 
 SOON = 0.05
@@ -149,14 +149,14 @@
     world = make_zoned_world()
     core = world.processes["entry-20"].core
     for view in core.dispatcher.fleet.views.values():
-        view.health.note_done(10.0, 1.0)
+        view.health.record_success(10.0, 1.0)
         view.slowness = 3.0
     world.evacuate("zone-1")
     world.run(1.0)
     world.take_back("zone-1")
     world.run(SOON)
     for view in core.dispatcher.fleet.views.values():
-        assert (view.factor == 1.0) == (view.zone == "zone-1")
+        assert (view.slowdown_factor == 1.0) == (view.zone == "zone-1")
 
 
 def test_an_agent_refuses_orders_of_an_entry_that_knows_less() -> None:
--- a/tests/core/runs/test_failures.py
+++ b/tests/core/runs/test_failures.py
@@ -9,7 +9,7 @@
 
 from godwitbank._internal.core.runs.events import Reported, ReportRecalled
 from godwitbank._internal.models.resources import Resources
-from tests.core.runs.test_path import make_world
+from tests.core.runs.test_happy_path import make_world
 from tests.lib.runs_world import QUEUE, RunsWorld, make_job
 
 
--- a/tests/core/runs/test_forwarding.py
+++ b/tests/core/runs/test_forwarding.py
@@ -7,7 +7,7 @@
 )
 from godwitbank._internal.models.jobs import Configuration
 from godwitbank._internal.models.resources import Resources
-from tests.core.runs.test_path import make_world
+from tests.core.runs.test_happy_path import make_world
 from tests.lib.runs_world import QUEUE, RunsWorld, make_job
 
 ENTRIES = ("entry-0", "entry-1")
@@ -92,7 +92,7 @@
     world = make_pressed_world()
     world.submit("entry-0", make_job("j1", width=4, seconds=5.0))
     world.run(0.1)
-    assert world.processes["entry-0"].core.intake.has("j1")
+    assert world.processes["entry-0"].core.intake.has_job("j1")
     world.processes["entry-0"].give(JobCancelled("j1"))
     world.run(0.2)
     assert count_alive(world) == 0
--- a/tests/core/runs/test_silence.py
+++ b/tests/core/runs/test_silence.py
@@ -3,7 +3,7 @@
 import pytest
 
 from tests.core.runs.test_exploration import COME_AGAIN_SECONDS
-from tests.core.runs.test_path import make_world
+from tests.core.runs.test_happy_path import make_world
 from tests.lib.runs_world import CAPACITY, RunsWorld, make_job
 
 ENTRIES = 3
--- a/tests/core/runs/test_takeovers.py
+++ b/tests/core/runs/test_takeovers.py
@@ -8,8 +8,8 @@
 from godwitbank._internal.core.runs.events import AddressesRead
 from godwitbank._internal.core.runs.links import IDLE_SILENCE
 from tests.core.runs.test_failures import find_agents
+from tests.core.runs.test_happy_path import make_world
 from tests.core.runs.test_meeting import make_wide_world
-from tests.core.runs.test_path import make_world
 from tests.lib.runs_world import RunsWorld, make_job
 
 RESUBMIT_SECONDS = 1.3
--- a/tests/core/runs/test_two_entries.py
+++ b/tests/core/runs/test_two_entries.py
@@ -7,7 +7,7 @@
 
 from godwitbank._internal.core.runs.entry import UNREADY_SECONDS
 from godwitbank._internal.core.runs.events import AddressesRead
-from tests.core.runs.test_path import make_world
+from tests.core.runs.test_happy_path import make_world
 from tests.lib.runs_world import RunsWorld, make_job
 
 GAPS = (0.0, 0.0002, 0.0005, 0.001, 0.0015, 0.003, 0.01, 0.07, 0.3, 0.7, 1.3)
--- a/tests/core/runs/test_waiting.py
+++ b/tests/core/runs/test_waiting.py
@@ -1,7 +1,7 @@
 """The order of waiting tasks."""
 
+from godwitbank._internal.core.runs.jobs import Job, TaskState
 from godwitbank._internal.core.runs.waiting import WaitingTasks
-from godwitbank._internal.core.runs.work import Job, TaskState
 from tests.lib.runs_world import QUEUE, make_job
 
 NOW = 100.0
@@ -9,18 +9,18 @@
 
 def add_job(waiting: WaitingTasks, name: str, rank: float, width: int = 1) -> Job:
     job = Job(make_job(name, width), QUEUE, 1, NOW, 10.0)
-    job.lay_out([0.4])
+    job.create_tasks([0.4])
     job.rank = rank
-    for task in job.list_ready():
+    for task in job.list_ready_tasks():
         waiting.add(task)
     return job
 
 
 def take_names(waiting: WaitingTasks, now: float) -> list[str]:
     names = []
-    while (task := waiting.take(now)) is not None:
+    while (task := waiting.pop(now)) is not None:
         task.state = TaskState.SENT
-        waiting.drop()
+        waiting.mark_removed()
         names.append(task.job.spec.job)
     return names
 
@@ -45,7 +45,7 @@
     waiting = WaitingTasks()
     add_job(waiting, "a", NOW + 1)
     add_job(waiting, "b", NOW + 2)
-    task = waiting.take(NOW)
+    task = waiting.pop(NOW)
     assert task is not None
     waiting.put_back([task])
     assert take_names(waiting, NOW) == ["a", "b"]
@@ -57,6 +57,6 @@
     add_job(waiting, "late", NOW - 1)
     job = add_job(waiting, "soon", NOW + 0.5, width=2)
     add_job(waiting, "then", NOW + 5)
-    work = sum(task.work for task in job.tasks[0])
-    first, whole = waiting.measure_timely((1.0, 10.0), NOW)
+    work = sum(task.core_seconds for task in job.tasks[0])
+    first, whole = waiting.measure_timely_work((1.0, 10.0), NOW)
     assert (first, whole) == (work, 1.5 * work)
--- a/tests/lib/runs_world.py
+++ b/tests/lib/runs_world.py
@@ -48,7 +48,7 @@
     StartAnswered,
     Stop,
 )
-from godwitbank._internal.core.runs.policy import DEFAULT, Policy
+from godwitbank._internal.core.runs.policy import DEFAULT_POLICY, Policy
 from godwitbank._internal.core.runs.verdicts import HoldVerdict, StartVerdict
 from godwitbank._internal.models.jobs import (
     Configuration,
@@ -126,7 +126,7 @@
         self,
         seed: int = 0,
         config: Configuration | None = None,
-        policy: Policy = DEFAULT,
+        policy: Policy = DEFAULT_POLICY,
         entries_per_agent: int = ENTRIES_PER_AGENT,
         deployment: Deployment = USUAL,
     ) -> None:
