--- a/src/godwitbank/_internal/core/runs/intake.py
+++ b/src/godwitbank/_internal/core/runs/intake.py
@@ -2,8 +2,6 @@
 
 from collections.abc import Callable, Iterable
 
-from godwitbank._internal.core.runs.jobs import Job
-
 from godwitbank._internal.core.counters import Counts
 from godwitbank._internal.core.pressure import Pressure
 from godwitbank._internal.core.runs.admission import RETRY_AFTER_SECONDS
@@ -18,6 +16,7 @@
 )
 from godwitbank._internal.core.runs.forwarding import Forwarding
 from godwitbank._internal.core.runs.handover import Handover
+from godwitbank._internal.core.runs.jobs import Job
 from godwitbank._internal.core.runs.links import Link
 from godwitbank._internal.core.runs.remote_callers import RemoteCallers
 from godwitbank._internal.core.runs.routes import RouteTable
--- a/src/godwitbank/_internal/core/runs/ownership_announcements.py
+++ b/src/godwitbank/_internal/core/runs/ownership_announcements.py
@@ -2,10 +2,9 @@
 
 from collections.abc import Callable, Iterable
 
-from godwitbank._internal.core.runs.jobs import Job
-
 from godwitbank._internal.core.events import Send
 from godwitbank._internal.core.runs.events import RunAction
+from godwitbank._internal.core.runs.jobs import Job
 from godwitbank._internal.core.runs.links import Links
 from godwitbank._internal.core.runs.ownership import JobOwnership, Ownership
 from godwitbank._internal.models.run_messages import Took
