--- a/src/godwitbank/_internal/core/runs/agent.py
+++ b/src/godwitbank/_internal/core/runs/agent.py
@@ -21,10 +21,9 @@
 from godwitbank._internal.core.identity import Identity, make_hello
 from godwitbank._internal.core.pressure import Pressure
 from godwitbank._internal.core.runs.addresses import ENTRIES_PER_AGENT
-from godwitbank._internal.core.runs.bulletins import Bulletins
-from godwitbank._internal.core.runs.deployment import USUAL, Deployment
+from godwitbank._internal.core.runs.deployment import DEFAULT_DEPLOYMENT, Deployment
 from godwitbank._internal.core.runs.endpoint import Endpoint
-from godwitbank._internal.core.runs.evacuations import Evacuations, read_message
+from godwitbank._internal.core.runs.evacuations import Evacuations, decode_evacuation
 from godwitbank._internal.core.runs.events import (
     AddressesRead,
     Departed,
@@ -42,6 +41,7 @@
 from godwitbank._internal.core.runs.links import Link, Links
 from godwitbank._internal.core.runs.moves import StreamMoves
 from godwitbank._internal.core.runs.runner import Runner
+from godwitbank._internal.core.runs.status_updates import StatusUpdates
 from godwitbank._internal.models.jobs import RunEnd
 from godwitbank._internal.models.messages import (
     PROTOCOL_VERSION,
@@ -65,17 +65,17 @@
     StopRun,
 )
 
-SLOWNESS_STEP = 0.3
+SLOWNESS_UPDATE_STEP = 0.3
 """Change of an endpoint's slowness that entries are told before the next proof of life.
 Endpoints count as slow from 2.0, and sound ones differ by less than this."""
 
 
-LAG_STEP = 0.03
+LAG_UPDATE_STEP_SECONDS = 0.03
 """Change in seconds of this process's lateness that entries are told before the next
 proof of life: from there on another agent with room serves a short task sooner."""
 
 
-class Told(NamedTuple):
+class AnnouncedState(NamedTuple):
     """What all entries are told from: while it is the same they need no look."""
 
     news: EndpointNews
@@ -92,7 +92,7 @@
         now: float,
         counts: Counts | None = None,
         entries: int = ENTRIES_PER_AGENT,
-        deployment: Deployment = USUAL,
+        deployment: Deployment = DEFAULT_DEPLOYMENT,
     ) -> None:
         self.identity = identity
         self.counts = Counts() if counts is None else counts
@@ -102,10 +102,10 @@
         self.runner = Runner(
             self.endpoint, self.links, self.counts, now, self._lose_endpoint
         )
-        self.shelf = self.runner.shelf
+        self.held_runs = self.runner.held_runs
         self.pressure = Pressure()
-        self._bulletins = Bulletins()
-        self._told: Told | None = None
+        self._bulletins = StatusUpdates()
+        self._told: AnnouncedState | None = None
         self._owners: set[str] = set()
         self._linked_anew = True
         self._quiet = False
@@ -120,17 +120,17 @@
             Reported: self._report,
             ReportRecalled: self._recall,
             Departed: self._depart,
-            StartAnswered: self.runner.hear_start,
-            Held: self.runner.hear_hold,
-            HoldFailed: self.runner.hear_hold_failed,
+            StartAnswered: self.runner.handle_start_answer,
+            Held: self.runner.handle_renewal_answer,
+            HoldFailed: self.runner.handle_renewal_failure,
             StopRequested: self._stop,
             Lagged: self._note_lag,
             Tick: self._tick,
         }
         self._receivers: dict[type, Callable] = {
-            StartRun: self.runner.start,
-            StopRun: self.runner.stop_run,
-            Claim: self.runner.claim,
+            StartRun: self.runner.handle_start_order,
+            StopRun: self.runner.handle_stop_order,
+            Claim: self.runner.handle_claim,
             Peers: self._hear_peers,
             Alive: self._hear_alive,
             Evacuated: self._hear_evacuated,
@@ -141,14 +141,14 @@
         """Take one event and return what has to be done."""
         self._now = now
         self._out = []
-        self.runner.begin(now, self._out)
+        self.runner.begin_event(now, self._out)
         if self.links.begin(now):
             for link in self.links:
                 self._drop_link(link.stream, "stood_still")
         self._handlers[type(event)](event)
         self.runner.start_parked()
         self._out += self.endpoint.list_renewals(
-            now, bool(self.shelf.placed_owners), self.runner.find_lease_end()
+            now, bool(self.held_runs.placed_owners), self.runner.find_lease_end()
         )
         self._tell_all()
         self.runner.answer_claims()
@@ -188,10 +188,10 @@
             "service": self.endpoint.service,
             "open": self.open,
             "evacuated": self.evacuated,
-            "free": list(self.shelf.free),
-            "placed": len(self.shelf.list_placed()),
+            "free": list(self.held_runs.free),
+            "placed": len(self.held_runs.list_placed()),
             "lag": round(self.pressure.lag, 3),
-            "parked": self.shelf.parked,
+            "parked": self.held_runs.parked,
             "entries": [link.hello.process for link in self.links],
         }
 
@@ -235,19 +235,19 @@
         self._note("entry_connected", entry=hello.process)
         for outcome in self.runner.outbox.take(hello.incarnation, self._now):
             self._send(event.stream, outcome)
-        owned = self.runner.list_owned(hello.incarnation)
+        owned = self.runner.list_tasks_of(hello.incarnation)
         self._send(event.stream, Holding(owned, self._now))
 
     def _close(self, event: StreamClosed) -> None:
         link = self.links.close(event.stream, event.address, self._now)
-        self._bulletins.forget(event.stream)
+        self._bulletins.remove_stream(event.stream)
         if link is None:
             return
         self.counts.add("streams_lost", Role.ENTRY)
         self._note("entry_lost", entry=link.hello.process)
         if self.links.find(link.hello.incarnation) is None:
-            self.runner.stop_owned(link.hello.incarnation)
-            self.runner.forget_lives()
+            self.runner.stop_runs_of(link.hello.incarnation)
+            self.runner.prune_liveness()
 
     def _receive(self, event: Received) -> None:
         link = self.links.hear(event.stream, self._now)
@@ -266,10 +266,10 @@
         self._close(StreamClosed(stream))
 
     def _hear_alive(self, link: Link, message: Alive) -> None:
-        self.runner.prove_life(link, message.clock)
+        self.runner.record_liveness(link, message.clock)
 
     def _hear_evacuated(self, link: Link, message: Evacuated) -> None:
-        told = read_message(message)
+        told = decode_evacuation(message)
         if self.evacuations.install(told) is None:
             return
         evacuated = self.evacuations.covers(self.identity.zone)
@@ -285,12 +285,12 @@
 
     def _report(self, event: Reported) -> None:
         report = event.report
-        if self.endpoint.suspect(report):
+        if self.endpoint.needs_verification(report):
             return
-        change = self.endpoint.hear_report(report, self._now)
+        change = self.endpoint.apply_report(report, self._now)
         if change.replaced:
-            self.runner.lose_all(RunEnd.LOST)
-        if change.any:
+            self.runner.end_all(RunEnd.LOST)
+        if change.changed:
             self._note(
                 "endpoint_reported",
                 instance=report.instance,
@@ -298,14 +298,14 @@
                 draining=report.draining,
             )
             self._out.append(KeepReport(report))
-        self.shelf.capacity = self.endpoint.capacity
+        self.held_runs.capacity = self.endpoint.capacity
         if not self.endpoint.open:
             self.runner.return_parked()
 
     def _recall(self, event: ReportRecalled) -> None:
-        if self.endpoint.recall(event.report, self._now):
+        if self.endpoint.restore_report(event.report, self._now):
             self._note("endpoint_recalled", instance=event.report.instance)
-            self.shelf.capacity = self.endpoint.capacity
+            self.held_runs.capacity = self.endpoint.capacity
 
     def _depart(self, event: Departed) -> None:
         if event.instance == self.endpoint.instance:
@@ -314,9 +314,9 @@
     def _lose_endpoint(self, reason: str) -> None:
         self.counts.add("endpoints_lost", reason)
         self._note("endpoint_lost", instance=self.endpoint.instance, reason=reason)
-        successor = self.endpoint.take_successor()
-        self.endpoint.forget()
-        self.runner.lose_all(RunEnd.LOST)
+        successor = self.endpoint.take_unverified_report()
+        self.endpoint.reset()
+        self.runner.end_all(RunEnd.LOST)
         if successor is not None:
             self._report(Reported(successor))
 
@@ -334,11 +334,11 @@
         self._dial()
         self._prove_life()
         self._move_streams()
-        if self.endpoint.has_lapsed(self._now) and self.shelf.list_placed():
+        if self.endpoint.has_lapsed(self._now) and self.held_runs.list_placed():
             # No renewal reached the endpoint within the longest lease: it has
             # ended everything by itself, whether it lives or not.
             self._note("lease_lapsed", instance=self.endpoint.instance)
-            self.runner.lose_all(RunEnd.LOST)
+            self.runner.end_all(RunEnd.LOST)
         if self.endpoint.expire(self._now):
             self._note("endpoint_silent", instance=self.endpoint.instance)
             self.runner.return_parked()
@@ -361,8 +361,10 @@
         pulse = self._make_pulse()
         unproved = self.links.list_unproved(self._now)
         for link in self.links:
-            changed = abs(pulse.slowness - link.told_slowness) >= SLOWNESS_STEP
-            changed = changed or abs(pulse.lag - link.told_lag) >= LAG_STEP
+            changed = abs(pulse.slowness - link.told_slowness) >= SLOWNESS_UPDATE_STEP
+            changed = (
+                changed or abs(pulse.lag - link.told_lag) >= LAG_UPDATE_STEP_SECONDS
+            )
             if changed or link in unproved:
                 self._send_pulse(link, pulse)
 
@@ -380,20 +382,20 @@
         self._send_pulse(link, self._make_pulse())
 
     def _move_streams(self) -> None:
-        left = self._moves.find_left(self.shelf.owners, self._now)
+        left = self._moves.find_closable(self.held_runs.owners, self._now)
         if left is not None:
             self._drop_link(left.stream, "not_needed")
-        if self._moves.begin(self._now):
+        if self._moves.start_leaving(self._now):
             self._linked_anew = True
 
     def _stop(self, event: StopRequested) -> None:
         del event
         self.runner.stopping = True
-        self._note("stopping", running=len(self.shelf.list_placed()))
+        self._note("stopping", running=len(self.held_runs.list_placed()))
         self.runner.return_parked()
 
     def _check_quiet(self) -> None:
-        if self.stopping and not self._quiet and not self.shelf.runs:
+        if self.stopping and not self._quiet and not self.held_runs.runs:
             self._quiet = True
             self._out.append(Quiet())
 
@@ -401,7 +403,7 @@
 
     def _note_owners(self) -> None:
         """Note which streams carry runs; their other ends must be heard often."""
-        owners = set(self.shelf.owners)
+        owners = set(self.held_runs.owners)
         if owners == self._owners and not self._linked_anew:
             return
         self._owners = owners
@@ -421,25 +423,25 @@
             *self.endpoint.capacity,
             list(self.endpoint.labels),
             self.open,
-            self.endpoint.settled,
+            self.endpoint.reconciled,
             self.endpoint.is_cold(self._now),
         )
-        free = self.shelf.free - self.shelf.parked_needs
+        free = self.held_runs.free - self.held_runs.parked_needs
         self._note_owners()
         concerned = {
             action.stream
             for action in self._out
             if isinstance(action, Send) and isinstance(action.message, RunOutcome)
         }
-        told = Told(news, free, self.shelf.parked)
+        told = AnnouncedState(news, free, self.held_runs.parked)
         waits = self._now < self._bulletins.next_wakeup()
         if told == self._told and waits and not concerned and not self._linked_anew:
             return
         self._told = told
         self._linked_anew = False
-        usual_cpu = self.shelf.usual_cpu
-        for link in self._bulletins.begin(self.links, usual_cpu, self._now):
-            room = Room(*free, self.shelf.parked, link.received)
+        typical_cpu = self.held_runs.typical_cpu
+        for link in self._bulletins.begin_round(self.links, typical_cpu, self._now):
+            room = Room(*free, self.held_runs.parked, link.received)
             own_news = news._replace(open=False) if link.leaving else news
             at_once = link.stream in concerned
             for due in self._bulletins.list_due(link, own_news, room, at_once):
--- a/src/godwitbank/_internal/core/runs/deployment.py
+++ b/src/godwitbank/_internal/core/runs/deployment.py
@@ -2,14 +2,14 @@
 
 from typing import NamedTuple
 
-MAX_LEASE = 1.0
+MAX_LEASE_SECONDS = 1.0
 """Seconds of the longest lease that is granted, if endpoints allow as much: what a
 process that is gone had ordered must soon be over."""
 
-MISSED_REPORTS = 3
+MAX_MISSED_REPORTS = 3
 """Reports that may be lost one after the other before an endpoint counts as gone."""
 
-REPORT_SLACK = 0.5
+REPORT_SLACK_SECONDS = 0.5
 """Seconds that a report may be late, or a process need to be reached by one."""
 
 
@@ -24,32 +24,32 @@
     :param store_reads: reads a second that the store allows to all processes.
     """
 
-    longest_lease: float = MAX_LEASE
-    report_period: float = 1.5
-    away_factor: float = 1.5
-    contact: float = 3.0
-    change_bound: float = 2.0
-    store_reads: float = 2000.0
+    max_lease_seconds: float = MAX_LEASE_SECONDS
+    report_interval_seconds: float = 1.5
+    off_rack_factor: float = 1.5
+    fault_free_seconds: float = 3.0
+    change_bound_seconds: float = 2.0
+    store_reads_per_second: float = 2000.0
 
     @property
-    def lease(self) -> float:
+    def granted_lease_seconds(self) -> float:
         """Seconds of the leases that are granted."""
-        return min(MAX_LEASE, self.longest_lease)
+        return min(MAX_LEASE_SECONDS, self.max_lease_seconds)
 
     @property
-    def report_silence(self) -> float:
+    def report_timeout_seconds(self) -> float:
         """Seconds without a report after which an endpoint counts as gone."""
-        return MISSED_REPORTS * self.report_period + REPORT_SLACK
+        return MAX_MISSED_REPORTS * self.report_interval_seconds + REPORT_SLACK_SECONDS
 
     @property
-    def change_unseen(self) -> float:
+    def change_timeout_seconds(self) -> float:
         """Seconds after a fault for which a change may stay unseen."""
-        return max(self.contact, self.change_bound)
+        return max(self.fault_free_seconds, self.change_bound_seconds)
 
     @property
-    def arrival_seconds(self) -> float:
+    def agent_startup_seconds(self) -> float:
         """Seconds in which a new agent may still hear of its endpoint."""
-        return self.report_period + REPORT_SLACK
+        return self.report_interval_seconds + REPORT_SLACK_SECONDS
 
 
-USUAL = Deployment()
+DEFAULT_DEPLOYMENT = Deployment()
--- a/src/godwitbank/_internal/core/runs/dispatcher.py
+++ b/src/godwitbank/_internal/core/runs/dispatcher.py
@@ -8,7 +8,7 @@
 from godwitbank._internal.core.events import Send
 from godwitbank._internal.core.pressure import Pressure
 from godwitbank._internal.core.runs.admission import COME_BACK, HORIZONS, Admission
-from godwitbank._internal.core.runs.deployment import USUAL, Deployment
+from godwitbank._internal.core.runs.deployment import DEFAULT_DEPLOYMENT, Deployment
 from godwitbank._internal.core.runs.estimates import Estimates
 from godwitbank._internal.core.runs.events import Answer, Note, RunAction
 from godwitbank._internal.core.runs.fleet import ARRIVAL_WAIT, AgentView, Fleet
@@ -68,14 +68,14 @@
         now: float,
         pressure: Pressure,
         policy: Policy = DEFAULT,
-        deployment: Deployment = USUAL,
+        deployment: Deployment = DEFAULT_DEPLOYMENT,
     ) -> None:
         self._deployment = deployment
         self._policy = policy
         self._pressure = pressure
         self._booted_at = now
         self.jobs: dict[str, Job] = {}
-        self.fleet = Fleet(deployment.arrival_seconds)
+        self.fleet = Fleet(deployment.agent_startup_seconds)
         self.estimates = Estimates()
         self.admission = Admission(policy)
         self.ends_at = math.inf
@@ -144,7 +144,7 @@
             if self.fleet.list_open(service):
                 return "too_large"
         capacity = self.fleet.measure_capacity(service, self._now)
-        young = self._now - self._booted_at < self._deployment.arrival_seconds
+        young = self._now - self._booted_at < self._deployment.agent_startup_seconds
         if not capacity and (young or self.fleet.is_coming(self._now)):
             # Agents will be here and know their endpoints within a second or so. A
             # job that can't wait that long would be late, and take room from others.
@@ -277,7 +277,7 @@
         waiting.put_back(unplaced)
 
     def _choose_place(self, task: Task, views: list[AgentView]) -> Place | None:
-        away = self._deployment.away_factor
+        away = self._deployment.off_rack_factor
         chooser = Chooser(self._zone, self._rng, self._now, self._policy, away)
         return chooser.choose(task, views)
 
--- a/src/godwitbank/_internal/core/runs/endpoint.py
+++ b/src/godwitbank/_internal/core/runs/endpoint.py
@@ -2,70 +2,70 @@
 
 from typing import NamedTuple
 
-from godwitbank._internal.core.runs.deployment import USUAL, Deployment
+from godwitbank._internal.core.runs.deployment import DEFAULT_DEPLOYMENT, Deployment
 from godwitbank._internal.core.runs.events import Renew, Start, Stop
 from godwitbank._internal.core.runs.lease import EndpointClock
 from godwitbank._internal.models.jobs import EndpointReport
 from godwitbank._internal.models.resources import Resources
 from godwitbank._internal.models.run_messages import StartRun
 
-RENEWAL_WAIT = 0.12
+RENEWAL_WAIT_SECONDS = 0.12
 """Seconds an endpoint may hold a renewal back to answer with an end.
 
 An end whose renewal's answer is lost is told this much later; short tasks run
 for 0.1 s. Several renewals in a row may get lost within the longest lease.
 """
 
-MIN_PATIENCE = 0.06
-MAX_PATIENCE = 0.3
+MIN_ANSWER_TIMEOUT_SECONDS = 0.06
+MAX_ANSWER_TIMEOUT_SECONDS = 0.3
 """Seconds to wait for the answer to an order. One that doesn't come holds its room
 until it is certain that the order is void. The upper bound leaves time for three tries
 within a lease."""
 
-PATIENCE_FACTOR = 6.0
+ANSWER_TIMEOUT_FACTOR = 6.0
 """Multiple of the usual answer time: a VM that is slowed five times must not
 make the agent doubt every order."""
 
-ANSWER_WEIGHT = 0.1
+ANSWER_TIME_WEIGHT = 0.1
 """Weight of the newest answer time in the usual one."""
 
-RENEWAL_PAUSE = 0.03
+RENEWAL_RETRY_SECONDS = 0.03
 """Seconds before a renewal that failed is tried again."""
 
-DEAF_RENEWALS = 2
+MAX_UNANSWERED_RENEWALS = 2
 """Renewals without an answer after which an endpoint gets nothing new."""
 
 
-class Unknown(NamedTuple):
+class UnknownRun(NamedTuple):
     """A run that the endpoint has and this agent didn't start."""
 
     task: str
     run: int
 
 
-class Change(NamedTuple):
+class ReportChange(NamedTuple):
     """What a report changed.
 
     :param replaced: another boot of the endpoint reports now.
     """
 
-    any: bool
+    changed: bool
     replaced: bool
 
 
 class Endpoint:
     """Identity, clock, lease and fencing token of one endpoint."""
 
-    def __init__(self, now: float, deployment: Deployment = USUAL) -> None:
+    def __init__(self, now: float, deployment: Deployment = DEFAULT_DEPLOYMENT) -> None:
         self._deployment = deployment
         self.instance = ""
         self.service = ""
         self.capacity = Resources()
         self.labels: tuple[str, ...] = ()
         self.draining = False
-        self.clock = EndpointClock(deployment.lease)
+        self.clock = EndpointClock(deployment.granted_lease_seconds)
         self.token = 0
-        self.settled = False
+        self.reconciled = False
         self.reporting = False
         self._reported_at = now
         self._cold_until = now
@@ -86,18 +86,22 @@
     @property
     def open(self) -> bool:
         """Whether it may get new runs."""
-        ready = self.settled and self.reporting and self._unanswered < DEAF_RENEWALS
+        ready = (
+            self.reconciled
+            and self.reporting
+            and self._unanswered < MAX_UNANSWERED_RENEWALS
+        )
         return bool(self.instance) and ready and not self.draining
 
-    def hear_report(self, report: EndpointReport, now: float) -> Change:
+    def apply_report(self, report: EndpointReport, now: float) -> ReportChange:
         """Take a report; one of an earlier boot that was delayed is ignored."""
         if report.instance in self._former:
-            return Change(False, False)
+            return ReportChange(False, False)
         replaced = self.instance not in ("", report.instance)
         if replaced:
-            self.forget()
+            self.reset()
         if report.instance == self.instance and not self._is_news(report):
-            return Change(False, False)
+            return ReportChange(False, False)
         first = not self.instance or not self.reporting
         changes = first or report.draining != self.draining
         self.instance = report.instance
@@ -109,10 +113,10 @@
         self._reported_at = now
         self._cold_until = now + report.cold_left
         self.reporting = True
-        self.clock.hear(report.clock, now)
+        self.clock.update(report.clock, now)
         if not self.token:
             self.raise_token(now)
-        return Change(changes, replaced)
+        return ReportChange(changes, replaced)
 
     def is_cold(self, now: float) -> bool:
         """Tell whether runs still take longer here after the endpoint's start."""
@@ -123,30 +127,30 @@
         # somebody else, and its sequence must not hide the endpoint's own reports.
         return report.sequence > self._sequence and report.service == self.service
 
-    def suspect(self, report: EndpointReport) -> bool:
+    def needs_verification(self, report: EndpointReport) -> bool:
         """Tell whether a report of another boot has to be proved first.
 
         Somebody else may have sent it. Believed at once, it would end all runs of a
         sound endpoint, which would then count as a former boot for ever. The present
         boot is asked: what answers in its place says that it is another.
         """
-        if not self.settled or report.instance in (self.instance, *self._former):
+        if not self.reconciled or report.instance in (self.instance, *self._former):
             return False
         if self._successor is None:
             self._probe = None
         self._successor = report
         return True
 
-    def take_successor(self) -> EndpointReport | None:
+    def take_unverified_report(self) -> EndpointReport | None:
         """Take the report that waits for proof."""
         successor, self._successor = self._successor, None
         return successor
 
-    def is_probe(self, renewal: int) -> bool:
+    def is_verification(self, renewal: int) -> bool:
         """Tell whether a renewal was sent to prove a report."""
         return self._successor is not None and renewal == self._probe
 
-    def recall(self, report: EndpointReport, now: float) -> bool:
+    def restore_report(self, report: EndpointReport, now: float) -> bool:
         """Take a report that a former agent kept, unless a newer one came.
 
         Saves the wait for the next report. If the endpoint was booted anew, it
@@ -155,12 +159,12 @@
         if self.instance:
             return False
         recalled = report._replace(sequence=0, clock=0, cold_left=0.0)
-        self.hear_report(recalled, now)
+        self.apply_report(recalled, now)
         # Its clock must come from the endpoint itself.
         self.clock.reset()
         return True
 
-    def forget(self) -> None:
+    def reset(self) -> None:
         """Forget a boot of the endpoint that has ended."""
         if self.instance:
             self._former.add(self.instance)
@@ -168,7 +172,7 @@
         self.draining = False
         self.clock.reset()
         self.token = 0
-        self.settled = False
+        self.reconciled = False
         self.reporting = False
         self._inherits = True
         self._unanswered = 0
@@ -179,7 +183,10 @@
 
     def expire(self, now: float) -> bool:
         """Stop offering an endpoint that has not reported for long."""
-        if self.reporting and now - self._reported_at > self._deployment.report_silence:
+        if (
+            self.reporting
+            and now - self._reported_at > self._deployment.report_timeout_seconds
+        ):
             self.reporting = False
             return True
         return False
@@ -193,15 +200,15 @@
         self.token = max(self.token + 1, self.clock.read(now))
         self._renew_at = now
 
-    def hear_answer(self, seconds: float) -> None:
+    def record_answer_time(self, seconds: float) -> None:
         """Note how long an answer to an order took."""
-        self._answer_time += ANSWER_WEIGHT * (seconds - self._answer_time)
+        self._answer_time += ANSWER_TIME_WEIGHT * (seconds - self._answer_time)
 
     @property
-    def patience(self) -> float:
+    def answer_timeout_seconds(self) -> float:
         """Seconds to wait for the answer to an order."""
-        usual = PATIENCE_FACTOR * self._answer_time
-        return min(MAX_PATIENCE, max(MIN_PATIENCE, usual))
+        usual = ANSWER_TIMEOUT_FACTOR * self._answer_time
+        return min(MAX_ANSWER_TIMEOUT_SECONDS, max(MIN_ANSWER_TIMEOUT_SECONDS, usual))
 
     # Orders
 
@@ -218,7 +225,7 @@
             self.clock.grant(now, ends_by),
             self.token,
             order.checkpoint,
-            self.patience,
+            self.answer_timeout_seconds,
         )
 
     def make_stop(self, task: str, run: int) -> Stop:
@@ -249,7 +256,7 @@
             return [self._renew(now, 0, ends_by)]
         if not busy or self._renewals:
             return []
-        return [self._renew(now, int(RENEWAL_WAIT * 1000), ends_by)]
+        return [self._renew(now, int(RENEWAL_WAIT_SECONDS * 1000), ends_by)]
 
     def _renew(self, now: float, wait: int, ends_by: float) -> Renew:
         self._next_renewal += 1
@@ -257,7 +264,7 @@
         # What a former agent started must not live on by this agent's lease. And
         # an endpoint that doesn't answer gets no longer lease: the last one must
         # run out before its runs count as lost.
-        grants = not self._inherits and self._unanswered < DEAF_RENEWALS
+        grants = not self._inherits and self._unanswered < MAX_UNANSWERED_RENEWALS
         until = self.clock.grant(now, ends_by) if grants and ends_by > now else None
         self._renewals[number] = Renewal(self.token, now)
         return Renew(
@@ -267,37 +274,37 @@
             self.token,
             self._seen,
             wait,
-            self.patience,
+            self.answer_timeout_seconds,
         )
 
-    def take_renewal(self, number: int) -> "Renewal | None":
+    def pop_renewal(self, number: int) -> "Renewal | None":
         """Take a renewal off those under way."""
         return self._renewals.pop(number, None)
 
     def postpone_renewal(self, now: float) -> None:
         """Wait a little after a failure."""
         self._unanswered += 1
-        self._renew_at = now + RENEWAL_PAUSE
+        self._renew_at = now + RENEWAL_RETRY_SECONDS
 
-    def hear_hold(self, renewal: "Renewal") -> None:
+    def confirm_renewal(self, renewal: "Renewal") -> None:
         """Note that the endpoint answered a renewal."""
         self._unanswered = 0
         self._confirmed_token = max(self._confirmed_token, renewal.token)
 
-    def see_end(self, number: int) -> bool:
+    def record_end(self, number: int) -> bool:
         """Note an end; ``False`` if it was dealt with before."""
         if number <= self._seen:
             return False
         self._seen = number
         return True
 
-    def deal_with_strangers(self, strangers: list[Unknown], now: float) -> list[Stop]:
+    def stop_unknown_runs(self, strangers: list[UnknownRun], now: float) -> list[Stop]:
         """Stop what a former agent started; without any, the endpoint is settled."""
-        self.settled = not strangers
+        self.reconciled = not strangers
         if not strangers:
             self._inherits = False
             return []
-        self._renew_at = now + RENEWAL_PAUSE
+        self._renew_at = now + RENEWAL_RETRY_SECONDS
         self._confirmed_token = 0
         return [self.make_stop(each.task, each.run) for each in strangers]
 
@@ -309,7 +316,7 @@
         """Tell when something here is due."""
         if self.instance and self._renew_at > self._now:
             return self._renew_at
-        return self._now + self._deployment.lease / 4
+        return self._now + self._deployment.granted_lease_seconds / 4
 
 
 class Renewal(NamedTuple):
--- a/src/godwitbank/_internal/core/runs/entry.py
+++ b/src/godwitbank/_internal/core/runs/entry.py
@@ -18,12 +18,12 @@
 from godwitbank._internal.core.identity import Identity, make_hello
 from godwitbank._internal.core.pressure import Pressure
 from godwitbank._internal.core.runs.addresses import ENTRIES_PER_AGENT
-from godwitbank._internal.core.runs.deployment import USUAL, Deployment
+from godwitbank._internal.core.runs.deployment import DEFAULT_DEPLOYMENT, Deployment
 from godwitbank._internal.core.runs.dispatcher import Dispatcher
 from godwitbank._internal.core.runs.evacuations import (
     Evacuations,
-    make_message,
-    read_message,
+    decode_evacuation,
+    encode_evacuation,
 )
 from godwitbank._internal.core.runs.events import (
     AddressesRead,
@@ -112,7 +112,7 @@
         counts: Counts | None = None,
         policy: Policy = DEFAULT,
         entries_per_agent: int = ENTRIES_PER_AGENT,
-        deployment: Deployment = USUAL,
+        deployment: Deployment = DEFAULT_DEPLOYMENT,
     ) -> None:
         self.identity = identity
         self._entries_per_agent = entries_per_agent
@@ -458,7 +458,7 @@
         self._install_evacuation(event.evacuation, "store")
 
     def _hear_evacuated(self, link: Link, message: Evacuated) -> None:
-        told = read_message(message)
+        told = decode_evacuation(message)
         if self.evacuations.is_outdated(told):
             self._send_evacuation(link.stream)
             return
@@ -476,7 +476,7 @@
 
     def _send_evacuation(self, stream: int) -> None:
         if self.evacuations.known:
-            self._send(stream, make_message(self.evacuations.newest))
+            self._send(stream, encode_evacuation(self.evacuations.newest))
 
     # Time
 
--- a/src/godwitbank/_internal/core/runs/evacuations.py
+++ b/src/godwitbank/_internal/core/runs/evacuations.py
@@ -9,14 +9,14 @@
 from godwitbank._internal.models.jobs import Evacuation
 from godwitbank._internal.models.run_messages import Evacuated
 
-NONE_KNOWN = Evacuation(frozenset(), -1)
+NO_EVACUATION_KNOWN = Evacuation(frozenset(), -1)
 
 
 class Evacuations:
     """The newest that is known, by the store's revision."""
 
     def __init__(self) -> None:
-        self._newest = NONE_KNOWN
+        self._newest = NO_EVACUATION_KNOWN
 
     @property
     def newest(self) -> Evacuation:
@@ -26,7 +26,7 @@
     @property
     def known(self) -> bool:
         """Whether anything was read or told yet."""
-        return self._newest is not NONE_KNOWN
+        return self._newest is not NO_EVACUATION_KNOWN
 
     def covers(self, zone: str) -> bool:
         """Tell whether a zone's endpoints are to get nothing new."""
@@ -51,11 +51,11 @@
         return older and told.zones != self._newest.zones
 
 
-def make_message(known: Evacuation) -> Evacuated:
+def encode_evacuation(known: Evacuation) -> Evacuated:
     """Make what other processes are told."""
     return Evacuated(sorted(known.zones), known.revision)
 
 
-def read_message(message: Evacuated) -> Evacuation:
+def decode_evacuation(message: Evacuated) -> Evacuation:
     """Read what another process told."""
     return Evacuation(frozenset(map(str, message.zones)), message.revision)
--- a/src/godwitbank/_internal/core/runs/held.py
+++ b/src/godwitbank/_internal/core/runs/held_runs.py
@@ -14,7 +14,7 @@
 
     PARKED = auto()
     ORDERED = auto()
-    DOUBTFUL = auto()
+    UNCONFIRMED = auto()
     RUNNING = auto()
     STOPPING = auto()
 
@@ -72,7 +72,7 @@
 """
 
 
-USUAL_WEIGHT = 0.05
+TYPICAL_CPU_WEIGHT = 0.05
 """Weight of the newest run in the size of a usual one; some twenty runs count."""
 
 
@@ -82,7 +82,7 @@
         del counter[owner]
 
 
-class Shelf:
+class HeldRuns:
     """Runs at one agent: those that wait, by rank, and those that take room."""
 
     def __init__(self) -> None:
@@ -90,7 +90,7 @@
         self.owners: Counter[str] = Counter()
         self.placed_owners: Counter[str] = Counter()
         self.capacity = Resources()
-        self.usual_cpu = 0.0
+        self.typical_cpu = 0.0
         """Thousandths of a core of a usual run here; 0 while there was none."""
         self.used = Resources()
         self.parked_needs = Resources()
@@ -112,12 +112,12 @@
         self.parked_needs += held.needs
         self.parked += 1
 
-    def occupy(self, held: HeldRun) -> None:
+    def place(self, held: HeldRun) -> None:
         """Take the room for a parked run."""
         self._unpark(held)
         self.used += held.needs
-        before = self.usual_cpu or held.needs.cpu
-        self.usual_cpu = before + USUAL_WEIGHT * (held.needs.cpu - before)
+        before = self.typical_cpu or held.needs.cpu
+        self.typical_cpu = before + TYPICAL_CPU_WEIGHT * (held.needs.cpu - before)
         self.placed_owners[held.owner] += 1
         held.state = RunState.ORDERED
 
@@ -149,7 +149,7 @@
         spread = held.order.spread
         return not spread or self._count_step(held.step) < spread
 
-    def choose(self) -> HeldRun | None:
+    def choose_next(self) -> HeldRun | None:
         """Choose the next run to start: by rank, smaller ones past a large one."""
         skipped = []
         chosen = None
--- a/src/godwitbank/_internal/core/runs/lease.py
+++ b/src/godwitbank/_internal/core/runs/lease.py
@@ -7,25 +7,25 @@
 
 import math
 
-from godwitbank._internal.core.runs.deployment import MAX_LEASE
+from godwitbank._internal.core.runs.deployment import MAX_LEASE_SECONDS
 
-CLOCK_SKEW = 0.02
+MAX_CLOCK_SKEW = 0.02
 """How much slower than true an endpoint's clock may run, as a share (bound)."""
 
-LAPSE_SLACK = 0.1
+LAPSE_SLACK_SECONDS = 0.1
 """Seconds added before a run counts as lapsed: the endpoint ends its runs, and
 its answers travel, a little later than its clock says."""
 
 
-LIFE_SECONDS = 1.0
+OWNER_LIVENESS_SECONDS = 1.0
 """Seconds for which what an entry ordered may outlive the entry's last proof of life.
 Above the silence after which agents stop an entry's runs, with time for the stop: what
 others run at the endpoint must not lapse with them."""
 
-LAPSE_SECONDS = LIFE_SECONDS + LAPSE_SLACK
+LAPSE_SECONDS = OWNER_LIVENESS_SECONDS + LAPSE_SLACK_SECONDS
 """Seconds after an entry's last proof of life by which nothing runs for it any more."""
 
-MIN_LEASE = 0.1
+MIN_LEASE_SECONDS = 0.1
 """Seconds of the shortest lease that is granted for a new run; the order must arrive
 before it ends."""
 
@@ -33,7 +33,7 @@
 class EndpointClock:
     """An endpoint's clock as last told, and when all that it runs has lapsed."""
 
-    def __init__(self, lease: float = MAX_LEASE) -> None:
+    def __init__(self, lease: float = MAX_LEASE_SECONDS) -> None:
         self._lease = lease
         self._told: int | None = None
         self._told_at = 0.0
@@ -44,7 +44,7 @@
         """Whether the endpoint has told its clock."""
         return self._told is not None
 
-    def hear(self, clock: int | None, now: float) -> None:
+    def update(self, clock: int | None, now: float) -> None:
         """Note the clock in an answer; answers may overtake each other."""
         if clock is None or (self._told is not None and clock < self._told):
             return
@@ -62,11 +62,11 @@
 
         :param ends_by: when the lease must be over, however slow the endpoint's clock.
         """
-        allowed = (ends_by - self._told_at) * (1 - CLOCK_SKEW)
+        allowed = (ends_by - self._told_at) * (1 - MAX_CLOCK_SKEW)
         seconds = min(now - self._told_at + self._lease, allowed)
         until = (self._told or 0) + int(seconds * 1000)
-        left = (until - (self._told or 0)) / 1000 / (1 - CLOCK_SKEW)
-        self.lapsed_at = max(self.lapsed_at, self._told_at + left + LAPSE_SLACK)
+        left = (until - (self._told or 0)) / 1000 / (1 - MAX_CLOCK_SKEW)
+        self.lapsed_at = max(self.lapsed_at, self._told_at + left + LAPSE_SLACK_SECONDS)
         return until
 
     def reset(self) -> None:
--- a/src/godwitbank/_internal/core/runs/lives.py
+++ b/src/godwitbank/_internal/core/runs/lives.py
@@ -3,7 +3,7 @@
 import math
 from collections.abc import Iterable
 
-from godwitbank._internal.core.runs.lease import LIFE_SECONDS
+from godwitbank._internal.core.runs.lease import OWNER_LIVENESS_SECONDS
 
 
 class Lives:
@@ -32,4 +32,4 @@
     def find_end(self, owners: Iterable[str]) -> float:
         """Tell when what runs for some entries must be over, without a new proof."""
         proofs = (self._proved.get(owner, -math.inf) for owner in owners)
-        return min(proofs, default=math.inf) + LIFE_SECONDS
+        return min(proofs, default=math.inf) + OWNER_LIVENESS_SECONDS
--- a/src/godwitbank/_internal/core/runs/moves.py
+++ b/src/godwitbank/_internal/core/runs/moves.py
@@ -4,7 +4,7 @@
 
 from godwitbank._internal.core.runs.links import Link, Links
 
-LEAVE_SECONDS = 0.5
+LEAVE_DELAY_SECONDS = 0.5
 """Seconds between telling an entry that it will be left and leaving it; what it has
 sent before it heard so has arrived by then."""
 
@@ -20,7 +20,7 @@
         self._links = links
         self._leaving_since = now
 
-    def find_left(self, owners: Container[str], now: float) -> Link | None:
+    def find_closable(self, owners: Container[str], now: float) -> Link | None:
         """Find the stream that can be closed now.
 
         :param owners: entries of which a run is here, by incarnation.
@@ -29,11 +29,11 @@
             if not link.leaving:
                 continue
             idle = link.hello.incarnation not in owners
-            if idle and now - self._leaving_since > LEAVE_SECONDS:
+            if idle and now - self._leaving_since > LEAVE_DELAY_SECONDS:
                 return link
         return None
 
-    def begin(self, now: float) -> bool:
+    def start_leaving(self, now: float) -> bool:
         """Choose an entry to leave, unless one is being left; tells whether it did."""
         if any(link.leaving for link in self._links):
             return False
--- a/src/godwitbank/_internal/core/runs/placement.py
+++ b/src/godwitbank/_internal/core/runs/placement.py
@@ -3,7 +3,7 @@
 from random import Random
 from typing import NamedTuple
 
-from godwitbank._internal.core.runs.deployment import USUAL
+from godwitbank._internal.core.runs.deployment import DEFAULT_DEPLOYMENT
 from godwitbank._internal.core.runs.fleet import AgentView
 from godwitbank._internal.core.runs.policy import DEFAULT, Policy
 from godwitbank._internal.core.runs.progress import SLOW_FACTOR
@@ -53,7 +53,7 @@
         rng: Random,
         now: float,
         policy: Policy = DEFAULT,
-        away_factor: float = USUAL.away_factor,
+        away_factor: float = DEFAULT_DEPLOYMENT.off_rack_factor,
     ) -> None:
         self._away_factor = away_factor
         self._zone = zone
--- a/src/godwitbank/_internal/core/runs/looks.py
+++ b/src/godwitbank/_internal/core/runs/poll_limits.py
@@ -27,7 +27,7 @@
 """Of the reads that the store allows to all processes, those for entries' looks."""
 
 
-class Looks(NamedTuple):
+class PollLimits(NamedTuple):
     """Seconds that the calls of one entry may take.
 
     :param wait: longest wait at the store for a change, among few entries.
@@ -36,20 +36,20 @@
     :param most_a_second: looks a second that all entries may make.
     """
 
-    wait: float
-    answer: float
-    read: float
-    most_a_second: float
+    wait_seconds: float
+    answer_seconds: float
+    read_seconds: float
+    max_polls_per_second: float
 
     @classmethod
-    def from_deployment(cls, deployment: Deployment) -> "Looks":
+    def from_deployment(cls, deployment: Deployment) -> "PollLimits":
         """Derive them from what a deployment allows."""
-        unseen = deployment.change_unseen
+        unseen = deployment.change_timeout_seconds
         return cls(
             unseen * WAIT_SHARE,
             unseen * ANSWER_SHARE,
             min(MAX_READ, unseen * READ_SHARE),
-            deployment.store_reads * STORE_SHARE,
+            deployment.store_reads_per_second * STORE_SHARE,
         )
 
     def choose_wait(self, entries: int) -> float:
@@ -57,4 +57,4 @@
 
         :param entries: how many there are, this one too.
         """
-        return max(self.wait, entries / self.most_a_second)
+        return max(self.wait_seconds, entries / self.max_polls_per_second)
--- a/src/godwitbank/_internal/core/runs/runner.py
+++ b/src/godwitbank/_internal/core/runs/runner.py
@@ -10,8 +10,8 @@
 from godwitbank._internal.core.counters import Counts
 from godwitbank._internal.core.events import Send
 from godwitbank._internal.core.runs.claims import Claims
-from godwitbank._internal.core.runs.deployment import MAX_LEASE
-from godwitbank._internal.core.runs.endpoint import Endpoint, Unknown
+from godwitbank._internal.core.runs.deployment import MAX_LEASE_SECONDS
+from godwitbank._internal.core.runs.endpoint import Endpoint, UnknownRun
 from godwitbank._internal.core.runs.events import (
     Held,
     HoldFailed,
@@ -19,17 +19,17 @@
     RunAction,
     StartAnswered,
 )
-from godwitbank._internal.core.runs.held import HeldRun, RunState, Shelf
+from godwitbank._internal.core.runs.held_runs import HeldRun, HeldRuns, RunState
 from godwitbank._internal.core.runs.lease import (
-    CLOCK_SKEW,
-    LAPSE_SLACK,
-    MIN_LEASE,
+    LAPSE_SLACK_SECONDS,
+    MAX_CLOCK_SKEW,
+    MIN_LEASE_SECONDS,
 )
 from godwitbank._internal.core.runs.links import Link, Links
 from godwitbank._internal.core.runs.lives import Lives
 from godwitbank._internal.core.runs.outbox import Outbox
 from godwitbank._internal.core.runs.progress import Sample, Slowness
-from godwitbank._internal.core.runs.verdicts import HoldVerdict, StartVerdict
+from godwitbank._internal.core.runs.verdicts import RenewalVerdict, StartVerdict
 from godwitbank._internal.models.jobs import ListedEnd, ListedRun, RunEnd
 from godwitbank._internal.models.messages import Message
 from godwitbank._internal.models.run_messages import (
@@ -42,16 +42,16 @@
     StopRun,
 )
 
-REMEMBERED_RUNS = 512
+MAX_REMEMBERED_RUNS = 512
 """Ended runs that are remembered: answers to renewals may overtake each other,
 and an older one still lists as running what a newer one told as ended."""
 
-ORDER_SECONDS = 0.7
+MAX_ORDER_AGE_SECONDS = 0.7
 """Seconds after which an order to start that is still on its way is void. It is the
 silence after which its entry counts the run as lost; an agent that was suspended, or
 whose link was cut, may find the order later."""
 
-STOP_RETRY = 0.3
+STOP_RETRY_SECONDS = 0.3
 """Seconds after which a stop whose end wasn't listed is ordered again."""
 
 _UNSTARTED = {
@@ -74,7 +74,7 @@
         now: float,
         lose_endpoint: Callable[[str], None],
     ) -> None:
-        self.shelf = Shelf()
+        self.held_runs = HeldRuns()
         self.slowness = Slowness(now)
         self.outbox = Outbox()
         self.stopping = False
@@ -91,7 +91,7 @@
         self._now = now
         self._out: list[RunAction] = []
 
-    def begin(self, now: float, out: list[RunAction]) -> None:
+    def begin_event(self, now: float, out: list[RunAction]) -> None:
         """Prepare for one event."""
         self._now = now
         self._out = out
@@ -111,24 +111,26 @@
         if evacuated:
             self.return_parked()
 
-    def prove_life(self, link: Link, at: float) -> None:
+    def record_liveness(self, link: Link, at: float) -> None:
         """Note that an entry lived at a moment, on the clock of this agent."""
         link.proved_at = max(link.proved_at, at)
         self._lives.prove(link.hello.incarnation, at)
 
-    def forget_lives(self) -> None:
+    def prune_liveness(self) -> None:
         """Forget the proofs of life on which nothing depends any more."""
         linked = {link.hello.incarnation for link in self._links}
-        self._lives.keep(linked | set(self.shelf.owners))
+        self._lives.keep(linked | set(self.held_runs.owners))
 
     def find_lease_end(self) -> float:
         """Tell when what runs here must be over, unless its entries are heard again."""
-        return self._lives.find_end(self.shelf.placed_owners)
+        return self._lives.find_end(self.held_runs.placed_owners)
 
-    def list_owned(self, owner: str) -> list[str]:
+    def list_tasks_of(self, owner: str) -> list[str]:
         """List the tasks of which a run of an entry is held."""
         return [
-            held.order.task for held in self.shelf.runs.values() if held.owner == owner
+            held.order.task
+            for held in self.held_runs.runs.values()
+            if held.owner == owner
         ]
 
     def _note(self, event: str, request: str = "", **fields: object) -> None:
@@ -137,11 +139,11 @@
     def _send(self, stream: int, message: Message) -> None:
         self._out.append(Send(stream, message))
 
-    def stop_owned(self, owner: str) -> None:
+    def stop_runs_of(self, owner: str) -> None:
         """Stop the runs of an entry that can't be reached any more."""
         # The entry may be dead, and its callers submit again elsewhere: what
         # still ran here would run twice at the same time.
-        for held in list(self.shelf.runs.values()):
+        for held in list(self.held_runs.runs.values()):
             if held.owner == owner:
                 self._end_by_order(held, "entry_lost")
 
@@ -160,18 +162,18 @@
             held.state = RunState.STOPPING
         self._out.append(self._endpoint.make_stop(held.order.task, held.order.run))
 
-    def start(self, link: Link, order: StartRun) -> None:
+    def handle_start_order(self, link: Link, order: StartRun) -> None:
         """Take an order to start a run, or tell at once why not."""
         link.received += 1
-        self.prove_life(link, order.sent_at)
+        self.record_liveness(link, order.sent_at)
         held = HeldRun(order, link.hello.incarnation, self._now)
-        present = self.shelf.runs.get(order.task)
+        present = self.held_runs.runs.get(order.task)
         if present is not None:
             if present.order.run != order.run or present.owner != held.owner:
                 # Another run of the task may still be alive here.
                 self._refuse(held, RunEnd.NOT_STARTED, "present")
             return
-        if self._now - order.sent_at > ORDER_SECONDS:
+        if self._now - order.sent_at > MAX_ORDER_AGE_SECONDS:
             self._refuse(held, RunEnd.NOT_STARTED, "too_old")
         elif not self._claims.allows(held.job, held.owner):
             self._refuse(held, RunEnd.TAKEN_OVER, "claimed")
@@ -179,36 +181,36 @@
             self._refuse(held, RunEnd.CLOSED, "zone")
         elif not self.open or link.leaving:
             self._refuse(held, RunEnd.CLOSED, "closed")
-        elif not held.needs.fits(self.shelf.capacity):
+        elif not held.needs.fits(self.held_runs.capacity):
             self._refuse(held, RunEnd.INVALID, "too_large")
         elif not order.parks and not self._has_room(held):
             # Two entries chose this agent for the same room.
             self._refuse(held, RunEnd.NOT_STARTED, "room")
         else:
-            self.shelf.park(held)
+            self.held_runs.park(held)
 
     def _refuse(self, held: HeldRun, end: RunEnd, reason: str) -> None:
         self._counts.add("orders_refused", reason)
         self._tell_outcome(held, end, reason=reason)
 
     def _has_room(self, held: HeldRun) -> bool:
-        return held.needs.fits(self.shelf.free - self.shelf.parked_needs)
+        return held.needs.fits(self.held_runs.free - self.held_runs.parked_needs)
 
     def start_parked(self) -> None:
         """Order what waits here, as far as there is room."""
         if not self.open:
             return
-        while self.shelf.parked and self._may_grant_leases():
-            held = self.shelf.choose()
+        while self.held_runs.parked and self._may_grant_leases():
+            held = self.held_runs.choose_next()
             if held is None:
                 return
-            self.shelf.occupy(held)
+            self.held_runs.place(held)
             self._order(held)
 
     def _may_grant_leases(self) -> bool:
         # While an entry is silent whose runs are still here, a new run would lapse
         # with them.
-        return self.find_lease_end() - self._now >= MIN_LEASE
+        return self.find_lease_end() - self._now >= MIN_LEASE_SECONDS
 
     def _order(self, held: HeldRun) -> None:
         held.state = RunState.ORDERED
@@ -224,15 +226,15 @@
         self._note("start_ordered", held.order.task, run=held.order.run, waited=waited)
         self._out.append(action)
 
-    def stop_run(self, link: Link, stop: StopRun) -> None:
+    def handle_stop_order(self, link: Link, stop: StopRun) -> None:
         """Stop a run for the entry that ordered it."""
-        held = self.shelf.runs.get(stop.task)
+        held = self.held_runs.runs.get(stop.task)
         if held is None or held.order.run != stop.run:
             return
         if held.owner == link.hello.incarnation:
             self._end_by_order(held, "entry")
 
-    def claim(self, link: Link, claim: Claim) -> None:
+    def handle_claim(self, link: Link, claim: Claim) -> None:
         """Stop others' runs of a job whose caller came to the sender."""
         own = link.hello.incarnation
         earlier = self._claims.find_earlier(claim.job, own, self._now)
@@ -246,15 +248,15 @@
     def _list_others(self, job: str) -> list[HeldRun]:
         return [
             held
-            for held in self.shelf.runs.values()
+            for held in self.held_runs.runs.values()
             if held.job == job and not self._claims.allows(job, held.owner)
         ]
 
     def answer_claims(self) -> None:
         """Answer the claims of which nothing runs here any more."""
-        longest = MAX_LEASE / (1 - CLOCK_SKEW) + LAPSE_SLACK
+        longest = MAX_LEASE_SECONDS / (1 - MAX_CLOCK_SKEW) + LAPSE_SLACK_SECONDS
         lapsed = self._now - self._booted_at > longest
-        settled = self._endpoint.settled or lapsed
+        settled = self._endpoint.reconciled or lapsed
         for job in self._claims.list_unanswered():
             if self._list_others(job):
                 # Whoever asks must not take the time of the stop for an agent's end.
@@ -265,16 +267,16 @@
                 # Before, what a former agent started may still run.
                 self._send(self._claims.answer(job), Claimed(job, True, False))
 
-    def hear_start(self, event: StartAnswered) -> None:
+    def handle_start_answer(self, event: StartAnswered) -> None:
         """Take the endpoint's answer to an order to start."""
-        self._endpoint.clock.hear(event.clock, self._now)
-        held = self.shelf.runs.get(event.task)
+        self._endpoint.clock.update(event.clock, self._now)
+        held = self.held_runs.runs.get(event.task)
         if held is None or held.order.run != event.run or held.token != event.token:
             return
         if held.state is not RunState.ORDERED:
             return
         self._counts.add("starts_answered", event.verdict)
-        self._endpoint.hear_answer(self._now - held.ordered_at)
+        self._endpoint.record_answer_time(self._now - held.ordered_at)
         verdict = StartVerdict(event.verdict)
         if verdict is StartVerdict.STARTED:
             held.state = RunState.STOPPING if held.stop_reason else RunState.RUNNING
@@ -300,39 +302,39 @@
     def _doubt(self, held: HeldRun) -> None:
         # The order may be carried out seconds later. With a higher token known
         # to the endpoint it can't be any more; until then its room stays taken.
-        held.state = RunState.DOUBTFUL
+        held.state = RunState.UNCONFIRMED
         if held.token >= self._endpoint.token:
             self._endpoint.raise_token(self._now)
         self._note("start_unanswered", held.order.task, run=held.order.run)
 
-    def hear_hold(self, event: Held) -> None:
+    def handle_renewal_answer(self, event: Held) -> None:
         """Take what the endpoint lists."""
-        renewal = self._endpoint.take_renewal(event.renewal)
+        renewal = self._endpoint.pop_renewal(event.renewal)
         if renewal is None or event.instance not in ("", self._endpoint.instance):
             return
-        self._endpoint.clock.hear(event.clock, self._now)
+        self._endpoint.clock.update(event.clock, self._now)
         self._disprove_successor(event.renewal)
-        self._endpoint.hear_hold(renewal)
+        self._endpoint.confirm_renewal(renewal)
         for end in event.ended:
             self._hear_end(end)
         listed = {each.task: each for each in event.running}
         self._hear_progress(listed)
-        for held in self.shelf.list_placed():
+        for held in self.held_runs.list_placed():
             row = listed.pop(held.order.task, None)
             if row is not None and row.run == held.order.run:
                 self._see_running(held)
             elif self._is_gone(held, renewal.token, renewal.issued_at):
                 self._settle_absent(held)
         strangers = [
-            Unknown(row.task, row.run)
+            UnknownRun(row.task, row.run)
             for row in listed.values()
             if (row.task, row.run) not in self._settled
         ]
-        self._out += self._endpoint.deal_with_strangers(strangers, self._now)
+        self._out += self._endpoint.stop_unknown_runs(strangers, self._now)
 
     def _hear_progress(self, listed: dict[str, ListedRun]) -> None:
         samples = []
-        for held in self.shelf.list_placed():
+        for held in self.held_runs.list_placed():
             row = listed.get(held.order.task)
             if row is not None and row.run == held.order.run:
                 held.progress.hear(row.percent, self._now)
@@ -341,20 +343,20 @@
         self.slowness.hear(samples, self._now)
 
     def _is_gone(self, held: HeldRun, token: int, issued_at: float) -> bool:
-        if held.state is RunState.DOUBTFUL:
+        if held.state is RunState.UNCONFIRMED:
             return token > held.token
         return held.confirmed_at < issued_at
 
     def _settle_absent(self, held: HeldRun) -> None:
-        started = held.state is not RunState.DOUBTFUL
+        started = held.state is not RunState.UNCONFIRMED
         self._note("run_absent", held.order.task, run=held.order.run, started=started)
         self._settle(held, RunEnd.LOST if started else RunEnd.NOT_STARTED)
 
     def _see_running(self, held: HeldRun) -> None:
-        if held.state in (RunState.ORDERED, RunState.DOUBTFUL):
+        if held.state in (RunState.ORDERED, RunState.UNCONFIRMED):
             held.state = RunState.STOPPING if held.stop_reason else RunState.RUNNING
             held.confirmed_at = min(held.confirmed_at, self._now)
-        if held.stop_reason and self._now - held.stopped_at > STOP_RETRY:
+        if held.stop_reason and self._now - held.stopped_at > STOP_RETRY_SECONDS:
             held.stopped_at = self._now
             self._out.append(self._endpoint.make_stop(held.order.task, held.order.run))
         elif not held.stop_reason:
@@ -370,9 +372,9 @@
                 self._send(link.stream, RunSlow(held.order.task, held.order.run))
 
     def _hear_end(self, end: ListedEnd) -> None:
-        if not self._endpoint.see_end(end.number):
+        if not self._endpoint.record_end(end.number):
             return
-        held = self.shelf.runs.get(end.task)
+        held = self.held_runs.runs.get(end.task)
         if held is None or held.order.run != end.run:
             return
         if held.state is RunState.PARKED:
@@ -384,9 +386,9 @@
         self._settle(held, result, end.checkpoint)
 
     def _settle(self, held: HeldRun, end: RunEnd, checkpoint: str = "") -> None:
-        self.shelf.remove(held)
+        self.held_runs.remove(held)
         self._settled[(held.order.task, held.order.run)] = None
-        if len(self._settled) > REMEMBERED_RUNS:
+        if len(self._settled) > MAX_REMEMBERED_RUNS:
             self._settled.popitem(last=False)
         self._tell_outcome(held, end, checkpoint)
 
@@ -409,39 +411,39 @@
         else:
             self._send(link.stream, outcome)
 
-    def hear_hold_failed(self, event: HoldFailed) -> None:
+    def handle_renewal_failure(self, event: HoldFailed) -> None:
         """Act on a renewal that was refused or not answered."""
-        renewal = self._endpoint.take_renewal(event.renewal)
+        renewal = self._endpoint.pop_renewal(event.renewal)
         if renewal is None:
             return
         self._counts.add("renewals_failed", event.verdict)
-        self._endpoint.clock.hear(event.clock, self._now)
-        if event.verdict == HoldVerdict.OTHER_INSTANCE:
+        self._endpoint.clock.update(event.clock, self._now)
+        if event.verdict == RenewalVerdict.OTHER_INSTANCE:
             self._lose_endpoint("other_instance")
-        elif event.verdict == HoldVerdict.FENCED:
+        elif event.verdict == RenewalVerdict.FENCED:
             self._disprove_successor(event.renewal)
             if renewal.token >= self._endpoint.token:
                 self._endpoint.raise_token(self._now)
-        elif self._endpoint.is_probe(event.renewal):
+        elif self._endpoint.is_verification(event.renewal):
             self._lose_endpoint("replaced")
         else:
             self._endpoint.postpone_renewal(self._now)
 
     def _disprove_successor(self, renewal: int) -> None:
-        if not self._endpoint.is_probe(renewal):
+        if not self._endpoint.is_verification(renewal):
             return
-        successor = self._endpoint.take_successor()
+        successor = self._endpoint.take_unverified_report()
         if successor is not None:
             self._counts.add("reports_disproved")
             self._note("report_disproved", instance=successor.instance)
 
-    def lose_all(self, end: RunEnd) -> None:
+    def end_all(self, end: RunEnd) -> None:
         """Count everything here as ended."""
-        for held in list(self.shelf.runs.values()):
+        for held in list(self.held_runs.runs.values()):
             parked = held.state is RunState.PARKED
             self._settle(held, RunEnd.NOT_STARTED if parked else end)
 
     def return_parked(self) -> None:
         """Send back the runs that wait here."""
-        for held in self.shelf.list_parked():
+        for held in self.held_runs.list_parked():
             self._settle(held, RunEnd.CLOSED)
--- a/src/godwitbank/_internal/core/runs/bulletins.py
+++ b/src/godwitbank/_internal/core/runs/status_updates.py
@@ -16,20 +16,20 @@
 from godwitbank._internal.models.messages import Message
 from godwitbank._internal.models.run_messages import EndpointNews, Room
 
-PAUSE_SECONDS = 0.03
+UPDATE_INTERVAL_SECONDS = 0.03
 """Seconds between two messages about room that no entry waits for, so that an agent
 sends 33 a second at the most, however many entries there are."""
 
-FEW_ENTRIES = 4
+MAX_UNTHROTTLED_ENTRIES = 4
 """Entries that are told at once: so few messages cost no more than the wake-up that
 would send them later."""
 
-FIRST_TOLD = 2
+MAX_IMMEDIATE_UPDATES = 2
 """Entries that are told at once of room where there was none. More would all order into
 it; the next are told with the next change, whoever was told longest ago first."""
 
 
-class Told:
+class LastUpdate:
     """What one entry was told last."""
 
     __slots__ = ("news", "room", "at")
@@ -40,37 +40,43 @@
         self.at = -math.inf
 
 
-class Bulletins:
+class StatusUpdates:
     """What each entry was told last, by stream."""
 
     def __init__(self) -> None:
-        self._told: dict[int, Told] = {}
+        self._told: dict[int, LastUpdate] = {}
         self._all_told_at = -math.inf
         self._all = False
-        self._usual_cpu = 0.0
+        self._typical_cpu = 0.0
         self._first_left = 0
         self._now = 0.0
         self._due_at = math.inf
         self._next_at = math.inf
 
-    def forget(self, stream: int) -> None:
+    def remove_stream(self, stream: int) -> None:
         """Forget a stream that has ended."""
         self._told.pop(stream, None)
 
-    def begin(self, links: Iterable[Link], usual_cpu: float, now: float) -> list[Link]:
+    def begin_round(
+        self, links: Iterable[Link], typical_cpu: float, now: float
+    ) -> list[Link]:
         """Prepare for telling entries, and order them: told longest ago first.
 
         All that wait are told in one go: a timer each would wake the process as often
         as telling them at once.
 
-        :param usual_cpu: thousandths of a core of a usual run; 0 while unknown.
+        :param typical_cpu: thousandths of a core of a usual run; 0 while unknown.
         """
         ordered = sorted(links, key=self._find_told_at)
         entries = len(ordered)
-        self._usual_cpu = usual_cpu
-        self._first_left = FIRST_TOLD
+        self._typical_cpu = typical_cpu
+        self._first_left = MAX_IMMEDIATE_UPDATES
         self._now = now
-        pause = PAUSE_SECONDS * entries if entries > FEW_ENTRIES else 0.0
+        pause = (
+            UPDATE_INTERVAL_SECONDS * entries
+            if entries > MAX_UNTHROTTLED_ENTRIES
+            else 0.0
+        )
         due_at = self._all_told_at + pause
         self._all = now >= due_at
         self._due_at = math.inf
@@ -91,7 +97,7 @@
 
         :param at_once: whether the entry is told of a run's end at this moment.
         """
-        told = self._told.setdefault(link.stream, Told())
+        told = self._told.setdefault(link.stream, LastUpdate())
         due: list[Message] = []
         if told.news != news:
             told.news = news
@@ -109,8 +115,8 @@
 
     def _must_know(self, told: Room | None, room: Room) -> bool:
         """Tell whether an entry that waits to be told would decide otherwise now."""
-        had_room = told is not None and told.cpu >= self._usual_cpu
-        has_room = room.cpu >= self._usual_cpu
+        had_room = told is not None and told.cpu >= self._typical_cpu
+        has_room = room.cpu >= self._typical_cpu
         if had_room == has_room:
             return False
         return had_room or self._take_first_place()
--- a/src/godwitbank/_internal/core/runs/verdicts.py
+++ b/src/godwitbank/_internal/core/runs/verdicts.py
@@ -21,7 +21,7 @@
     NO_ANSWER = "no_answer"
 
 
-class HoldVerdict(StrEnum):
+class RenewalVerdict(StrEnum):
     """Why a lease renewal brought no lists."""
 
     FENCED = "fenced"
--- a/src/godwitbank/_internal/operations/run_agent.py
+++ b/src/godwitbank/_internal/operations/run_agent.py
@@ -10,7 +10,7 @@
 from godwitbank._internal.core.events import CloseStream, Dial, Send, StopRequested
 from godwitbank._internal.core.identity import Identity, make_hello
 from godwitbank._internal.core.runs.agent import RunAgentCore
-from godwitbank._internal.core.runs.deployment import USUAL, Deployment
+from godwitbank._internal.core.runs.deployment import DEFAULT_DEPLOYMENT, Deployment
 from godwitbank._internal.core.runs.events import (
     AddressesRead,
     Held,
@@ -82,7 +82,7 @@
         keeper: ReportKeeper,
         log: DecisionLog,
         counts: Counts,
-        deployment: Deployment = USUAL,
+        deployment: Deployment = DEFAULT_DEPLOYMENT,
     ) -> None:
         self.core = RunAgentCore(
             identity, read_boot_time(), counts, deployment=deployment
--- a/src/godwitbank/_internal/operations/run_entry.py
+++ b/src/godwitbank/_internal/operations/run_entry.py
@@ -9,7 +9,7 @@
 from godwitbank._internal.core.events import CloseStream, Dial, Send, StopRequested
 from godwitbank._internal.core.identity import Identity, make_hello
 from godwitbank._internal.core.runs.admission import COME_BACK
-from godwitbank._internal.core.runs.deployment import USUAL, Deployment
+from godwitbank._internal.core.runs.deployment import DEFAULT_DEPLOYMENT, Deployment
 from godwitbank._internal.core.runs.entry import RunEntryCore
 from godwitbank._internal.core.runs.events import (
     AddressesRead,
@@ -52,7 +52,7 @@
         rng: Random,
         log: DecisionLog,
         counts: Counts,
-        deployment: Deployment = USUAL,
+        deployment: Deployment = DEFAULT_DEPLOYMENT,
     ) -> None:
         self.core = RunEntryCore(
             identity, rng, read_boot_time(), counts, deployment=deployment
--- a/src/godwitbank/_internal/platform/endpoint.py
+++ b/src/godwitbank/_internal/platform/endpoint.py
@@ -12,7 +12,7 @@
     StartAnswered,
     Stop,
 )
-from godwitbank._internal.core.runs.verdicts import HoldVerdict, StartVerdict
+from godwitbank._internal.core.runs.verdicts import RenewalVerdict, StartVerdict
 from godwitbank._internal.network.http_client import (
     HttpClient,
     NoAnswerError,
@@ -106,13 +106,13 @@
                 clock, running, ended = decode_lists(response.content)
                 return Held(order.renewal, running, ended, clock, order.instance)
         except (UnreachableError, NoAnswerError, msgspec.DecodeError):
-            return HoldFailed(order.renewal, HoldVerdict.NO_ANSWER, None)
+            return HoldFailed(order.renewal, RenewalVerdict.NO_ANSWER, None)
         answer = decode_order_answer(response.content)
-        verdict = HoldVerdict.REFUSED
+        verdict = RenewalVerdict.REFUSED
         if response.status == 421:
-            verdict = HoldVerdict.OTHER_INSTANCE
+            verdict = RenewalVerdict.OTHER_INSTANCE
         elif answer.reason == "fence":
-            verdict = HoldVerdict.FENCED
+            verdict = RenewalVerdict.FENCED
         return HoldFailed(order.renewal, verdict, answer.clock)
 
     async def _post(
--- a/src/godwitbank/_internal/platform/entry_program.py
+++ b/src/godwitbank/_internal/platform/entry_program.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from godwitbank._internal.core.counters import Counts
-from godwitbank._internal.core.runs.looks import Looks
+from godwitbank._internal.core.runs.poll_limits import PollLimits
 from godwitbank._internal.operations.clocks import read_boot_time
 from godwitbank._internal.operations.decisions import DecisionLog
 from godwitbank._internal.operations.run_entry import RunEntryProcess
@@ -43,7 +43,7 @@
     process.learn_entries(settings.seeds)
     store = StoreClient(StoreCalls(settings.store), settings.name, log, counts)
     subscriber = Subscriber(process.evacuate, process.install, process.count_entries)
-    looks = Looks.from_deployment(settings.deployment)
+    looks = PollLimits.from_deployment(settings.deployment)
     watchers = [
         asyncio.create_task(
             OperatorsWatch(store, subscriber, looks, log, counts).run()
--- a/src/godwitbank/_internal/platform/operators.py
+++ b/src/godwitbank/_internal/platform/operators.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from godwitbank._internal.core.counters import Counts
-from godwitbank._internal.core.runs.looks import Looks
+from godwitbank._internal.core.runs.poll_limits import PollLimits
 from godwitbank._internal.models.jobs import Configuration, Evacuation
 from godwitbank._internal.operations.decisions import DecisionLog
 from godwitbank._internal.platform.bodies import decode_configuration
@@ -41,7 +41,7 @@
         self,
         store: StoreClient,
         subscriber: Subscriber,
-        looks: Looks,
+        looks: PollLimits,
         log: DecisionLog,
         counts: Counts,
     ) -> None:
@@ -73,7 +73,7 @@
 
     async def _read_all(self) -> Evacuation:
         query = {"table": OPERATORS_TABLE, "part": ""}
-        seconds = self._looks.read
+        seconds = self._looks.read_seconds
         read = page = await self._store.get_rows("/-/rows-get", query, seconds)
         while page.has_more and page.changes:
             # Of several pages the first is the oldest; what has changed since is
@@ -93,7 +93,7 @@
             "after": str(held.revision),
             "wait-ms": str(int(wait * 1000)),
         }
-        seconds = wait + self._looks.answer
+        seconds = wait + self._looks.answer_seconds
         read = await self._store.get_rows("/-/rows-feed", query, seconds)
         self._note_answer(read, whole=False)
         return self._deliver(read, held.zones)
--- a/src/godwitbank/_internal/platform/settings.py
+++ b/src/godwitbank/_internal/platform/settings.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from godwitbank._internal.core.runs.deployment import USUAL, Deployment
+from godwitbank._internal.core.runs.deployment import DEFAULT_DEPLOYMENT, Deployment
 from godwitbank._internal.exceptions import SettingsError
 
 SETTINGS_VARIABLE = "GODWITBANK_SETTINGS"
@@ -40,7 +40,7 @@
     seeds: tuple[str, ...]
     store: str
     endpoint: str
-    deployment: Deployment = USUAL
+    deployment: Deployment = DEFAULT_DEPLOYMENT
 
     @classmethod
     def from_environment(cls) -> "PlatformSettings":
@@ -95,12 +95,22 @@
 
 def _read_deployment(values: dict[str, str]) -> Deployment:
     return Deployment(
-        _read_seconds(values, "bounds.hold-max-ms", USUAL.longest_lease),
-        _read_seconds(values, "heartbeat-ms", USUAL.report_period),
-        _read_number(values, "bounds.far-factor", USUAL.away_factor),
-        _read_seconds(values, "bounds.contact-ms", USUAL.contact),
-        _read_seconds(values, "bounds.config-apply-ms", USUAL.change_bound),
-        _read_number(values, "platform.reads-per-s", USUAL.store_reads),
+        _read_seconds(
+            values, "bounds.hold-max-ms", DEFAULT_DEPLOYMENT.max_lease_seconds
+        ),
+        _read_seconds(
+            values, "heartbeat-ms", DEFAULT_DEPLOYMENT.report_interval_seconds
+        ),
+        _read_number(values, "bounds.far-factor", DEFAULT_DEPLOYMENT.off_rack_factor),
+        _read_seconds(
+            values, "bounds.contact-ms", DEFAULT_DEPLOYMENT.fault_free_seconds
+        ),
+        _read_seconds(
+            values, "bounds.config-apply-ms", DEFAULT_DEPLOYMENT.change_bound_seconds
+        ),
+        _read_number(
+            values, "platform.reads-per-s", DEFAULT_DEPLOYMENT.store_reads_per_second
+        ),
     )
 
 
--- a/standins/leased_endpoint.py
+++ b/standins/leased_endpoint.py
@@ -14,7 +14,7 @@
     StartAnswered,
     Stop,
 )
-from godwitbank._internal.core.runs.verdicts import HoldVerdict, StartVerdict
+from godwitbank._internal.core.runs.verdicts import RenewalVerdict, StartVerdict
 from godwitbank._internal.models.jobs import (
     EndpointReport,
     ListedEnd,
@@ -192,9 +192,9 @@
         self.advance(now)
         clock = self.clock(now)
         if order.instance != self.instance:
-            return HoldFailed(order.renewal, HoldVerdict.OTHER_INSTANCE, clock)
+            return HoldFailed(order.renewal, RenewalVerdict.OTHER_INSTANCE, clock)
         if order.token < self.token:
-            return HoldFailed(order.renewal, HoldVerdict.FENCED, clock)
+            return HoldFailed(order.renewal, RenewalVerdict.FENCED, clock)
         self.token = order.token
         self._extend(order.lease_until, now)
         self.ends = [end for end in self.ends if end.number > order.seen]
--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -188,8 +188,8 @@
     Break(
         "unanswered orders give up their room",
         f"{LEASED}/runner.py",
-        "        held.state = RunState.DOUBTFUL\n",
-        "        held.state = RunState.DOUBTFUL\n"
+        "        held.state = RunState.UNCONFIRMED\n",
+        "        held.state = RunState.UNCONFIRMED\n"
         "        self._settle(held, RunEnd.NOT_STARTED)\n        return\n",
         f"{RUNS}/test_failures.py::test_room_of_an_unanswered_order_stays_taken",
     ),
@@ -203,15 +203,15 @@
     Break(
         "restarted agent serves at once",
         f"{LEASED}/endpoint.py",
-        "        ready = self.settled and self.reporting",
-        "        ready = self.reporting",
+        "            self.reconciled\n            and self.reporting\n",
+        "            self.reporting\n",
         f"{RUNS}/test_failures.py::"
         "test_a_restarted_agent_stops_what_its_predecessor_started",
     ),
     Break(
         "runs of a lost entry go on",
         f"{LEASED}/agent.py",
-        "            self.runner.stop_owned(link.hello.incarnation)",
+        "            self.runner.stop_runs_of(link.hello.incarnation)",
         "            pass",
         f"{RUNS}/test_failures.py::"
         "test_runs_of_a_dead_entry_are_stopped_before_the_caller_comes_again",
@@ -233,7 +233,7 @@
     Break(
         "orders of any age are carried out",
         f"{LEASED}/runner.py",
-        "if self._now - order.sent_at > ORDER_SECONDS:",
+        "if self._now - order.sent_at > MAX_ORDER_AGE_SECONDS:",
         "if False:",
         f"{RUNS}/test_meeting.py::"
         "test_an_order_older_than_its_entrys_patience_starts_nothing",
@@ -241,7 +241,7 @@
     Break(
         "leases are granted however long ago entries lived",
         f"{LEASED}/lives.py",
-        "        return min(proofs, default=math.inf) + LIFE_SECONDS",
+        "        return min(proofs, default=math.inf) + OWNER_LIVENESS_SECONDS",
         "        return math.inf",
         f"{RUNS}/test_takeovers.py::"
         "test_runs_end_with_their_entry_though_their_agent_dies_before_it_stops_them",
@@ -364,7 +364,8 @@
     Break(
         "an endpoint without an answer keeps its lease",
         f"{LEASED}/endpoint.py",
-        "        grants = not self._inherits and self._unanswered < DEAF_RENEWALS",
+        "        grants = not self._inherits"
+        " and self._unanswered < MAX_UNANSWERED_RENEWALS",
         "        grants = not self._inherits",
         f"{RUNS}/test_failures.py::"
         "test_runs_of_a_silent_endpoint_go_elsewhere_after_its_lease",
@@ -536,7 +537,7 @@
     ),
     Break(
         "looks at the store wait for as long as they may",
-        f"{LEASED}/looks.py",
+        f"{LEASED}/poll_limits.py",
         "            unseen * WAIT_SHARE,\n",
         "            20.0,\n",
         "tests/platform/test_watch.py",
--- a/tests/core/runs/test_deployment.py
+++ b/tests/core/runs/test_deployment.py
@@ -2,7 +2,11 @@
 
 import pytest
 
-from godwitbank._internal.core.runs.deployment import MAX_LEASE, USUAL, Deployment
+from godwitbank._internal.core.runs.deployment import (
+    DEFAULT_DEPLOYMENT,
+    MAX_LEASE_SECONDS,
+    Deployment,
+)
 from godwitbank._internal.core.runs.lease import EndpointClock
 from tests.lib.runs_world import RunsWorld, make_job
 
@@ -21,17 +25,17 @@
 
 @pytest.mark.parametrize("longest", [0.4, 1.0, 2.0])
 def test_no_lease_is_longer_than_endpoints_and_callers_allow(longest: float) -> None:
-    clock = EndpointClock(Deployment(longest_lease=longest).lease)
-    clock.hear(1000, NOW)
+    clock = EndpointClock(Deployment(max_lease_seconds=longest).granted_lease_seconds)
+    clock.update(1000, NOW)
     until = clock.grant(NOW, NOW + 10.0)
-    assert until == 1000 + int(min(longest, MAX_LEASE) * 1000)
+    assert until == 1000 + int(min(longest, MAX_LEASE_SECONDS) * 1000)
 
 
 @pytest.mark.parametrize("period", [0.5, 1.5, 3.0])
 def test_an_endpoint_counts_as_gone_after_three_reports_that_are_missing(
     period: float,
 ) -> None:
-    world = make_world(USUAL._replace(report_period=period))
+    world = make_world(DEFAULT_DEPLOYMENT._replace(report_interval_seconds=period))
     agent = world.processes["agent-0"]
     assert agent.core.open
     world.crash_endpoint("agent-0")
@@ -42,7 +46,9 @@
 
 
 def test_jobs_wait_for_endpoints_that_report_seldom() -> None:
-    world = RunsWorld(deployment=USUAL._replace(report_period=3.0))
+    world = RunsWorld(
+        deployment=DEFAULT_DEPLOYMENT._replace(report_interval_seconds=3.0)
+    )
     world.add_entry("entry-0")
     world.add_agent("agent-0")
     world.run(1.2)
@@ -57,7 +63,7 @@
 
 @pytest.mark.parametrize("longest", [0.5, 2.0])
 def test_long_runs_live_on_whatever_leases_endpoints_allow(longest: float) -> None:
-    world = make_world(USUAL._replace(longest_lease=longest))
+    world = make_world(DEFAULT_DEPLOYMENT._replace(max_lease_seconds=longest))
     world.submit("entry-0", make_job("j1", width=4, seconds=5.0))
     world.run(6.0)
     assert world.get_ends("j1") == ["completed"]
--- a/tests/core/runs/test_exploration.py
+++ b/tests/core/runs/test_exploration.py
@@ -12,7 +12,7 @@
 import pytest
 from standins.leased_endpoint import Behaviour
 
-from godwitbank._internal.core.runs.deployment import USUAL, Deployment
+from godwitbank._internal.core.runs.deployment import DEFAULT_DEPLOYMENT, Deployment
 from godwitbank._internal.core.runs.events import AddressesRead, Lagged
 from tests.lib.runs_world import Process, RunsWorld, make_job
 
@@ -129,7 +129,7 @@
         impatient: bool = False,
         size: Size = SMALL,
         zones: int = 1,
-        deployment: Deployment = USUAL,
+        deployment: Deployment = DEFAULT_DEPLOYMENT,
     ) -> None:
         self.impatient = impatient
         self.rng = Random(seed)
@@ -468,8 +468,8 @@
 @pytest.mark.parametrize(
     "deployment",
     [
-        Deployment(longest_lease=2.0, report_period=3.0),
-        Deployment(longest_lease=0.5, report_period=0.5),
+        Deployment(max_lease_seconds=2.0, report_interval_seconds=3.0),
+        Deployment(max_lease_seconds=0.5, report_interval_seconds=0.5),
     ],
     ids=["long", "short"],
 )
--- a/tests/core/runs/test_failures.py
+++ b/tests/core/runs/test_failures.py
@@ -405,7 +405,7 @@
     world.boot_endpoint("agent-0", smaller)
     world.run(0.5)
     assert agent.core.open
-    assert agent.core.shelf.capacity.cpu == 8000
+    assert agent.core.held_runs.capacity.cpu == 8000
 
 
 def test_a_job_waits_for_agents_that_are_just_back() -> None:
--- a/tests/core/runs/test_lives.py
+++ b/tests/core/runs/test_lives.py
@@ -5,9 +5,9 @@
 import pytest
 
 from godwitbank._internal.core.runs.lease import (
-    CLOCK_SKEW,
-    LIFE_SECONDS,
-    MAX_LEASE,
+    MAX_CLOCK_SKEW,
+    MAX_LEASE_SECONDS,
+    OWNER_LIVENESS_SECONDS,
     EndpointClock,
 )
 from godwitbank._internal.core.runs.lives import Lives
@@ -19,15 +19,15 @@
     lives = Lives()
     lives.prove("entry-0", NOW)
     lives.prove("entry-1", NOW + 0.3)
-    assert lives.find_end(["entry-0", "entry-1"]) == NOW + LIFE_SECONDS
-    assert lives.find_end(["entry-1"]) == NOW + 0.3 + LIFE_SECONDS
+    assert lives.find_end(["entry-0", "entry-1"]) == NOW + OWNER_LIVENESS_SECONDS
+    assert lives.find_end(["entry-1"]) == NOW + 0.3 + OWNER_LIVENESS_SECONDS
 
 
 def test_a_proof_that_was_held_up_takes_nothing_back() -> None:
     lives = Lives()
     lives.prove("entry-0", NOW)
     lives.prove("entry-0", NOW - 0.5)
-    assert lives.find_end(["entry-0"]) == NOW + LIFE_SECONDS
+    assert lives.find_end(["entry-0"]) == NOW + OWNER_LIVENESS_SECONDS
 
 
 def test_an_entry_that_was_never_heard_gets_no_lease() -> None:
@@ -45,16 +45,16 @@
     assert lives.find_end(["entry-0"]) == -math.inf
 
 
-@pytest.mark.parametrize("rate", [1 - CLOCK_SKEW, 1.0])
+@pytest.mark.parametrize("rate", [1 - MAX_CLOCK_SKEW, 1.0])
 @pytest.mark.parametrize("age", [0.0, 0.1, 0.5])
 def test_a_lease_ends_in_time_on_a_slow_clock(rate: float, age: float) -> None:
     # Symptom: runs outlive their entry by more than is granted. Cause: the endpoint
     # counts the lease on its own clock, which may be 2 % slow.
     clock = EndpointClock()
-    clock.hear(5000, NOW)
+    clock.update(5000, NOW)
     until = clock.grant(NOW + age, NOW + 0.8)
     ends_at = NOW + (until - 5000) / 1000 / rate
     assert ends_at <= NOW + 0.8
     assert clock.grant(NOW + age, math.inf) == pytest.approx(
-        5000 + (age + MAX_LEASE) * 1000, abs=1
+        5000 + (age + MAX_LEASE_SECONDS) * 1000, abs=1
     )
--- a/tests/core/runs/test_bulletins.py
+++ b/tests/core/runs/test_status_updates.py
@@ -1,11 +1,11 @@
 """How often entries are told of an endpoint's room."""
 
-from godwitbank._internal.core.runs.bulletins import (
-    FIRST_TOLD,
-    PAUSE_SECONDS,
-    Bulletins,
-)
 from godwitbank._internal.core.runs.links import Link
+from godwitbank._internal.core.runs.status_updates import (
+    MAX_IMMEDIATE_UPDATES,
+    UPDATE_INTERVAL_SECONDS,
+    StatusUpdates,
+)
 from godwitbank._internal.models.messages import Hello, Role
 from godwitbank._internal.models.run_messages import EndpointNews, Room
 
@@ -32,20 +32,20 @@
 
 
 def list_due(
-    bulletins: Bulletins,
+    bulletins: StatusUpdates,
     room: Room,
     now: float,
     news: EndpointNews = NEWS,
     at_once: bool = False,
 ) -> list:
     """List what the one entry is told at some moment."""
-    bulletins.begin(make_links(ENTRIES), USUAL_CPU, now)
+    bulletins.begin_round(make_links(ENTRIES), USUAL_CPU, now)
     return bulletins.list_due(make_link(), news, room, at_once)
 
 
-def make_told(room: Room) -> Bulletins:
+def make_told(room: Room) -> StatusUpdates:
     """Make bulletins whose entry was told some room at first."""
-    bulletins = Bulletins()
+    bulletins = StatusUpdates()
     assert list_due(bulletins, room, NOW) == [NEWS, room]
     return bulletins
 
@@ -65,7 +65,7 @@
 
 def test_other_changes_wait_and_are_told_together() -> None:
     bulletins = make_told(make_room(16000))
-    pause = PAUSE_SECONDS * ENTRIES
+    pause = UPDATE_INTERVAL_SECONDS * ENTRIES
     assert list_due(bulletins, make_room(9000), NOW + 0.001) == []
     assert bulletins.next_wakeup() == NOW + pause
     last = make_room(8000)
@@ -79,7 +79,7 @@
     bulletins = make_told(make_room(16000))
     assert list_due(bulletins, make_room(9000), NOW + 0.01, at_once=True)
     assert list_due(bulletins, make_room(8000), NOW + 0.011) == []
-    assert bulletins.next_wakeup() == NOW + PAUSE_SECONDS * ENTRIES
+    assert bulletins.next_wakeup() == NOW + UPDATE_INTERVAL_SECONDS * ENTRIES
 
 
 def test_news_of_the_endpoint_never_wait() -> None:
@@ -90,48 +90,48 @@
 
 def test_a_new_stream_is_told_everything() -> None:
     bulletins = make_told(make_room(16000))
-    bulletins.forget(1)
+    bulletins.remove_stream(1)
     room = make_room(16000)
     assert list_due(bulletins, room, NOW + 0.001) == [NEWS, room]
 
 
 def test_few_entries_are_told_at_once() -> None:
-    bulletins = Bulletins()
+    bulletins = StatusUpdates()
     for cpu in (16000, 9000):
-        bulletins.begin(make_links(4), USUAL_CPU, NOW)
+        bulletins.begin_round(make_links(4), USUAL_CPU, NOW)
         due = bulletins.list_due(make_link(), NEWS, make_room(cpu), False)
         assert due[-1].cpu == cpu
 
 
-def tell_all(bulletins: Bulletins, room: Room, now: float) -> list[int]:
+def tell_all(bulletins: StatusUpdates, room: Room, now: float) -> list[int]:
     """Tell all entries what is due; return the streams that were told of room."""
     told = []
-    for link in bulletins.begin(make_links(ENTRIES), USUAL_CPU, now):
+    for link in bulletins.begin_round(make_links(ENTRIES), USUAL_CPU, now):
         if room in bulletins.list_due(link, NEWS, room, False):
             told.append(link.stream)
     return told
 
 
 def test_all_are_told_at_once_that_there_is_no_room_left() -> None:
-    bulletins = Bulletins()
+    bulletins = StatusUpdates()
     tell_all(bulletins, make_room(16000), NOW)
     assert not tell_all(bulletins, make_room(3000), NOW + 0.001)
     assert len(tell_all(bulletins, make_room(1500), NOW + 0.002)) == ENTRIES
 
 
 def test_few_at_a_time_are_told_at_once_that_there_is_room_again() -> None:
-    bulletins = Bulletins()
+    bulletins = StatusUpdates()
     tell_all(bulletins, make_room(0), NOW)
     heard: list[int] = []
-    for step in range(1, ENTRIES // FIRST_TOLD + 1):
+    for step in range(1, ENTRIES // MAX_IMMEDIATE_UPDATES + 1):
         told = tell_all(bulletins, make_room(1600), NOW + step / 1000)
-        assert len(told) == FIRST_TOLD
+        assert len(told) == MAX_IMMEDIATE_UPDATES
         heard += told
     assert sorted(heard) == list(range(1, ENTRIES + 1))
 
 
 def test_whoever_was_told_longest_ago_is_told_first_of_room() -> None:
-    bulletins = Bulletins()
+    bulletins = StatusUpdates()
     tell_all(bulletins, make_room(0), NOW)
     first = tell_all(bulletins, make_room(1600), NOW + 0.001)
     tell_all(bulletins, make_room(0), NOW + 0.002)
--- a/tests/lib/runs_world.py
+++ b/tests/lib/runs_world.py
@@ -28,7 +28,7 @@
 from godwitbank._internal.core.identity import Identity, make_hello
 from godwitbank._internal.core.runs.addresses import ENTRIES_PER_AGENT
 from godwitbank._internal.core.runs.agent import RunAgentCore
-from godwitbank._internal.core.runs.deployment import USUAL, Deployment
+from godwitbank._internal.core.runs.deployment import DEFAULT_DEPLOYMENT, Deployment
 from godwitbank._internal.core.runs.entry import RunEntryCore
 from godwitbank._internal.core.runs.events import (
     AddressesRead,
@@ -49,7 +49,7 @@
     Stop,
 )
 from godwitbank._internal.core.runs.policy import DEFAULT, Policy
-from godwitbank._internal.core.runs.verdicts import HoldVerdict, StartVerdict
+from godwitbank._internal.core.runs.verdicts import RenewalVerdict, StartVerdict
 from godwitbank._internal.models.jobs import (
     Configuration,
     EndpointReport,
@@ -128,7 +128,7 @@
         config: Configuration | None = None,
         policy: Policy = DEFAULT,
         entries_per_agent: int = ENTRIES_PER_AGENT,
-        deployment: Deployment = USUAL,
+        deployment: Deployment = DEFAULT_DEPLOYMENT,
     ) -> None:
         self.deployment = deployment
         self.policy = policy
@@ -216,7 +216,7 @@
         """Start an endpoint beside an agent."""
         instance = f"i-{name}-{next(self._sequence)}"
         base = 10**6 + 10**5 * next(self._sequence)
-        longest = self.deployment.longest_lease
+        longest = self.deployment.max_lease_seconds
         endpoint = FakeEndpoint(instance, QUEUE.service, capacity, base, longest)
         self.endpoints[name] = endpoint
         self.after(0.0, lambda: self._report(name, endpoint))
@@ -228,7 +228,10 @@
         process = self.processes.get(name)
         if process is not None and not process.dead and not process.frozen:
             process.give(Reported(endpoint.report(self.now)))
-        self.after(self.deployment.report_period, lambda: self._report(name, endpoint))
+        self.after(
+            self.deployment.report_interval_seconds,
+            lambda: self._report(name, endpoint),
+        )
 
     def _list(self, kind: type) -> list[Process]:
         return [
@@ -550,7 +553,7 @@
     def _renew(self, process: Process, order: Renew) -> None:
         endpoint = self.endpoints.get(process.name)
         if endpoint is None or self.lose_hold(process.name):
-            failed = HoldFailed(order.renewal, HoldVerdict.NO_ANSWER, None)
+            failed = HoldFailed(order.renewal, RenewalVerdict.NO_ANSWER, None)
             delay = order.patience + order.wait / 1000
             self.after(delay, lambda: process.give(failed))
             return
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from godwitbank._internal.core.runs.deployment import USUAL, Deployment
+from godwitbank._internal.core.runs.deployment import DEFAULT_DEPLOYMENT, Deployment
 from godwitbank._internal.exceptions import SettingsError
 from godwitbank._internal.platform.settings import PlatformSettings
 
@@ -57,7 +57,7 @@
     text = make_text(**told, **{"bounds.far_factor": "3"})
     deployment = PlatformSettings.from_text(text).deployment
     assert deployment == Deployment(2.0, 3.0, 3.0)
-    assert PlatformSettings.from_text(make_text()).deployment == USUAL
+    assert PlatformSettings.from_text(make_text()).deployment == DEFAULT_DEPLOYMENT
 
 
 @pytest.mark.parametrize("value", ["soon", "0", "-1", "inf", "nan"])
@@ -70,5 +70,7 @@
     told = {"bounds.contact_ms": "4000", "bounds.config_apply_ms": "3000"}
     text = make_text(**told, **{"platform.reads_per_s": "6000.0"})
     deployment = PlatformSettings.from_text(text).deployment
-    wanted = USUAL._replace(contact=4.0, change_bound=3.0, store_reads=6000.0)
+    wanted = DEFAULT_DEPLOYMENT._replace(
+        fault_free_seconds=4.0, change_bound_seconds=3.0, store_reads_per_second=6000.0
+    )
     assert deployment == wanted
--- a/tests/platform/test_watch.py
+++ b/tests/platform/test_watch.py
@@ -10,8 +10,8 @@
 import pytest
 
 from godwitbank._internal.core.counters import Counts
-from godwitbank._internal.core.runs.deployment import USUAL, Deployment
-from godwitbank._internal.core.runs.looks import Looks
+from godwitbank._internal.core.runs.deployment import DEFAULT_DEPLOYMENT, Deployment
+from godwitbank._internal.core.runs.poll_limits import PollLimits
 from godwitbank._internal.models.jobs import Configuration, Evacuation
 from godwitbank._internal.network.http_client import NoAnswerError
 from godwitbank._internal.platform.operators import OperatorsWatch, Subscriber
@@ -31,10 +31,10 @@
 LONG = 10.0
 
 BOUNDS = [
-    Deployment(contact=2.0, change_bound=1.0),
-    USUAL,
-    Deployment(contact=4.0, change_bound=3.0),
-    Deployment(contact=1.5, change_bound=2.5),
+    Deployment(fault_free_seconds=2.0, change_bound_seconds=1.0),
+    DEFAULT_DEPLOYMENT,
+    Deployment(fault_free_seconds=4.0, change_bound_seconds=3.0),
+    Deployment(fault_free_seconds=1.5, change_bound_seconds=2.5),
 ]
 
 
@@ -149,7 +149,7 @@
         self.counts = Counts()
         client = StoreClient(self.store, "entry-0", self.log, self.counts)  # type: ignore[arg-type]
         subscriber = Subscriber(self._evacuate, self._configure, lambda: entries)
-        looks = Looks.from_deployment(deployment)
+        looks = PollLimits.from_deployment(deployment)
         self._watch = OperatorsWatch(client, subscriber, looks, self.log, self.counts)  # type: ignore[arg-type]
 
     async def __aenter__(self) -> "Scene":
@@ -178,7 +178,7 @@
             await asyncio.sleep(CALM + phase)
             scene.store.silence()
             scene.store.write(make_row(2, 5))
-            await asyncio.sleep(deployment.change_unseen)
+            await asyncio.sleep(deployment.change_timeout_seconds)
             assert 2 in scene.heard_at
 
     for phase in PHASES:
@@ -197,7 +197,7 @@
             scene.store.silence(silence)
             await asyncio.sleep(silence)
             scene.store.write(make_row(2, 5))
-            await asyncio.sleep(deployment.change_unseen)
+            await asyncio.sleep(deployment.change_timeout_seconds)
             assert 2 in scene.heard_at
 
     for phase in PHASES:
@@ -207,13 +207,13 @@
 @pytest.mark.parametrize("garbage", [b"", b"{", DEEP, b'{"rows": 7}'])
 def test_an_answer_that_can_not_be_read_ends_no_watch(garbage: bytes) -> None:
     async def play() -> None:
-        async with Scene(USUAL) as scene:
+        async with Scene(DEFAULT_DEPLOYMENT) as scene:
             await asyncio.sleep(CALM)
             scene.store.garbage = garbage
             await asyncio.sleep(CALM)
             scene.store.garbage = None
             scene.store.write(make_row(2, 5))
-            await asyncio.sleep(USUAL.change_unseen)
+            await asyncio.sleep(DEFAULT_DEPLOYMENT.change_timeout_seconds)
             assert 2 in scene.heard_at
 
     run_virtually(play())
@@ -221,7 +221,7 @@
 
 def test_a_version_that_can_not_be_decoded_hides_no_later_one() -> None:
     async def play() -> None:
-        async with Scene(USUAL) as scene:
+        async with Scene(DEFAULT_DEPLOYMENT) as scene:
             await asyncio.sleep(CALM)
             scene.store.write(make_row(2, 5, routes="none"))
             await asyncio.sleep(CALM)
@@ -238,9 +238,9 @@
     seconds = 100.0
 
     async def play() -> None:
-        async with Scene(USUAL, entries) as scene:
+        async with Scene(DEFAULT_DEPLOYMENT, entries) as scene:
             await asyncio.sleep(seconds)
-            share = USUAL.store_reads / 5 / entries
+            share = DEFAULT_DEPLOYMENT.store_reads_per_second / 5 / entries
             assert len(scene.store.looks) <= 2 + seconds * min(1.0, share)
 
     run_virtually(play())
@@ -248,7 +248,7 @@
 
 def test_the_log_tells_how_long_the_store_was_not_heard() -> None:
     async def play() -> None:
-        async with Scene(USUAL) as scene:
+        async with Scene(DEFAULT_DEPLOYMENT) as scene:
             await asyncio.sleep(CALM)
             scene.store.silence(LONG)
             scene.store.write(make_row(2, 5))
