--- a/src/godwitbank/_internal/core/runs/dispatcher.py
+++ b/src/godwitbank/_internal/core/runs/dispatcher.py
@@ -12,7 +12,7 @@
     RETRY_AFTER_SECONDS,
     Admission,
 )
-from godwitbank._internal.core.runs.deployment import USUAL, Deployment
+from godwitbank._internal.core.runs.deployment import DEFAULT_DEPLOYMENT, Deployment
 from godwitbank._internal.core.runs.estimates import RunTimeEstimates
 from godwitbank._internal.core.runs.events import Answer, Note, RunAction
 from godwitbank._internal.core.runs.fleet import (
@@ -76,14 +76,14 @@
         now: float,
         pressure: Pressure,
         policy: Policy = DEFAULT_POLICY,
-        deployment: Deployment = USUAL,
+        deployment: Deployment = DEFAULT_DEPLOYMENT,
     ) -> None:
         self._deployment = deployment
         self._policy = policy
         self._pressure = pressure
         self._booted_at = now
         self.jobs: dict[str, Job] = {}
-        self.fleet = Fleet(deployment.arrival_seconds)
+        self.fleet = Fleet(deployment.agent_startup_seconds)
         self.estimates = RunTimeEstimates()
         self.admission = Admission(policy)
         self.shutdown_at = math.inf
@@ -152,7 +152,7 @@
             if self.fleet.list_accepting_agents(service):
                 return "too_large"
         capacity = self.fleet.measure_capacity(service, self._now)
-        young = self._now - self._booted_at < self._deployment.arrival_seconds
+        young = self._now - self._booted_at < self._deployment.agent_startup_seconds
         if not capacity and (young or self.fleet.awaits_endpoint(self._now)):
             # Agents will be here and know their endpoints within a second or so. A
             # job that can't wait that long would be late, and take room from others.
@@ -287,7 +287,7 @@
         waiting.put_back(unplaced)
 
     def _choose_place(self, task: Task, views: list[AgentView]) -> Placement | None:
-        away = self._deployment.away_factor
+        away = self._deployment.off_rack_factor
         chooser = AgentChooser(self._zone, self._rng, self._now, self._policy, away)
         return chooser.choose(task, views)
 
--- a/src/godwitbank/_internal/core/runs/placement.py
+++ b/src/godwitbank/_internal/core/runs/placement.py
@@ -3,7 +3,7 @@
 from random import Random
 from typing import NamedTuple
 
-from godwitbank._internal.core.runs.deployment import USUAL
+from godwitbank._internal.core.runs.deployment import DEFAULT_DEPLOYMENT
 from godwitbank._internal.core.runs.fleet import AgentView
 from godwitbank._internal.core.runs.jobs import Task
 from godwitbank._internal.core.runs.policy import DEFAULT_POLICY, Policy
@@ -53,7 +53,7 @@
         rng: Random,
         now: float,
         policy: Policy = DEFAULT_POLICY,
-        off_rack_factor: float = USUAL.away_factor,
+        off_rack_factor: float = DEFAULT_DEPLOYMENT.off_rack_factor,
     ) -> None:
         self._off_rack_factor = off_rack_factor
         self._zone = zone
