--- a/src/godwitbank/_internal/core/runs/addresses.py
+++ b/src/godwitbank/_internal/core/runs/addresses.py
@@ -15,21 +15,21 @@
 each entry still sees eight times the agents there are to an entry, so that one with
 several times the usual demand finds room."""
 
-FIRST_DIAL_DELAY = 0.1
-MAX_DIAL_DELAY = 0.5
+FIRST_DIAL_DELAY_SECONDS = 0.1
+MAX_DIAL_DELAY_SECONDS = 0.5
 """Seconds before an address that could not be reached is dialled again. Short:
 two entries without a stream don't know what the other has taken."""
 
-SPARE_DIAL_DELAY = 3.0
+MAX_SPARE_DIAL_DELAY_SECONDS = 3.0
 """The longest such delay while there are streams enough without it. An agent that
 knows of entries that are gone for good would dial them twice a second otherwise."""
 
-PASSIVE_DELAY = 0.1
+PASSIVE_DIAL_DELAY_SECONDS = 0.1
 """Seconds that the entry with the higher address leaves to the other to dial first, so
 that two entries started at once don't keep two streams."""
 
 
-class Dialling(NamedTuple):
+class DialState(NamedTuple):
     """When an address may be dialled again, and the delay after a failure."""
 
     due_at: float
@@ -46,13 +46,13 @@
     def __init__(self, own: str, limit: int | None = None) -> None:
         self._own = own
         self._limit = limit
-        self._dialling: dict[str, Dialling] = {}
+        self._dialling: dict[str, DialState] = {}
         self._ranked: list[str] = []
         self._busy: set[str] = set()
         self._linked: dict[str, int] = {}
         self._due_at = math.inf
 
-    def learn(self, addresses: Iterable[str], now: float) -> list[str]:
+    def add(self, addresses: Iterable[str], now: float) -> list[str]:
         """Note addresses, and return those that are new."""
         news = [
             address
@@ -61,8 +61,8 @@
         ]
         for address in news:
             passive = self._limit is None and address < self._own
-            due_at = now + PASSIVE_DELAY if passive else now
-            self._plan(address, Dialling(due_at, FIRST_DIAL_DELAY))
+            due_at = now + PASSIVE_DIAL_DELAY_SECONDS if passive else now
+            self._plan(address, DialState(due_at, FIRST_DIAL_DELAY_SECONDS))
         if news:
             self._ranked = sorted(self._dialling, key=self._score)
         return news
@@ -72,7 +72,7 @@
         # comes or goes moves only the streams that it has a part in.
         return blake2b(f"{self._own} {address}".encode(), digest_size=8).digest()
 
-    def _plan(self, address: str, dialling: Dialling) -> None:
+    def _plan(self, address: str, dialling: DialState) -> None:
         self._dialling[address] = dialling
         self._due_at = min(self._due_at, dialling.due_at)
 
@@ -138,7 +138,7 @@
         self._busy.discard(address)
         self._ranked = [each for each in self._ranked if each != address]
 
-    def open(self, address: str, dialled: str, now: float) -> None:
+    def add_stream(self, address: str, dialled: str, now: float) -> None:
         """Note a stream to the process with an address.
 
         :param dialled: the address it was reached by; empty if it dialled.
@@ -146,9 +146,9 @@
         if address != self._own:
             self._linked[address] = self._linked.get(address, 0) + 1
         if dialled:
-            self._plan(dialled, Dialling(now, FIRST_DIAL_DELAY))
+            self._plan(dialled, DialState(now, FIRST_DIAL_DELAY_SECONDS))
 
-    def close(self, address: str, dialled: str, now: float) -> None:
+    def remove_stream(self, address: str, dialled: str, now: float) -> None:
         """Note that a stream ended, or that an address could not be dialled."""
         left = self._linked.pop(address, 0) - 1
         if left > 0:
@@ -157,12 +157,12 @@
             self._busy.discard(dialled)
             delay = self._dialling[dialled].delay
             enough = self._limit is not None and self._count_missing() <= 0
-            longest = SPARE_DIAL_DELAY if enough else MAX_DIAL_DELAY
-            self._plan(dialled, Dialling(now + delay, min(delay * 2, longest)))
+            longest = MAX_SPARE_DIAL_DELAY_SECONDS if enough else MAX_DIAL_DELAY_SECONDS
+            self._plan(dialled, DialState(now + delay, min(delay * 2, longest)))
         elif address in self._dialling and not self._is_engaged(address):
             # It dialled, and will again if it lives.
-            due_at = now + FIRST_DIAL_DELAY + PASSIVE_DELAY
-            self._plan(address, Dialling(due_at, FIRST_DIAL_DELAY))
+            due_at = now + FIRST_DIAL_DELAY_SECONDS + PASSIVE_DIAL_DELAY_SECONDS
+            self._plan(address, DialState(due_at, FIRST_DIAL_DELAY_SECONDS))
         if self._limit is not None:
             # Another one may take its place at once.
             self._due_at = min(self._due_at, now)
--- a/src/godwitbank/_internal/core/runs/adoption.py
+++ b/src/godwitbank/_internal/core/runs/adoption.py
@@ -10,8 +10,8 @@
 
 from godwitbank._internal.core.events import Send
 from godwitbank._internal.core.runs.events import (
-    Answer,
-    CallerGone,
+    AnswerCaller,
+    CallerDisconnected,
     JobSubmitted,
     RunAction,
 )
@@ -51,29 +51,29 @@
         """Tell whether a caller came to another entry."""
         return caller in self._origins
 
-    def withdraw(self, stream: int, job: str) -> list[CallerGone]:
+    def withdraw(self, stream: int, job: str) -> list[CallerDisconnected]:
         """List the callers of a job that another entry withdraws."""
         origin = Origin(stream, job)
         gone = [caller for caller, each in self._origins.items() if each == origin]
         return self._forget(gone)
 
-    def drop_stream(self, stream: int) -> list[CallerGone]:
+    def drop_stream(self, stream: int) -> list[CallerDisconnected]:
         """List the callers that can't be answered any more."""
         gone = [
             caller for caller, each in self._origins.items() if each.stream == stream
         ]
         return self._forget(gone)
 
-    def _forget(self, callers: list[int]) -> list[CallerGone]:
+    def _forget(self, callers: list[int]) -> list[CallerDisconnected]:
         for caller in callers:
             del self._origins[caller]
-        return [CallerGone(caller) for caller in callers]
+        return [CallerDisconnected(caller) for caller in callers]
 
     def route(self, actions: Iterable[RunAction]) -> list[RunAction]:
         """Turn answers to callers of other entries into messages."""
         routed: list[RunAction] = []
         for action in actions:
-            if not isinstance(action, Answer) or action.caller > 0:
+            if not isinstance(action, AnswerCaller) or action.caller > 0:
                 routed.append(action)
                 continue
             origin = self._origins.pop(action.caller, None)
--- a/src/godwitbank/_internal/core/runs/agent.py
+++ b/src/godwitbank/_internal/core/runs/agent.py
@@ -27,17 +27,17 @@
 from godwitbank._internal.core.runs.evacuations import Evacuations, read_message
 from godwitbank._internal.core.runs.events import (
     AddressesRead,
-    Departed,
-    Held,
-    HoldFailed,
-    KeepReport,
-    Lagged,
-    Note,
-    Quiet,
-    Reported,
-    ReportRecalled,
+    EndpointExiting,
+    LagMeasured,
+    LogDecision,
+    RenewalAnswered,
+    RenewalFailed,
+    ReportReceived,
     RunAction,
+    ShutdownComplete,
     StartAnswered,
+    StoredReportRead,
+    StoreReport,
 )
 from godwitbank._internal.core.runs.links import Link, Links
 from godwitbank._internal.core.runs.moves import StreamMoves
@@ -117,14 +117,14 @@
             StreamOpened: self._open,
             StreamClosed: self._close,
             Received: self._receive,
-            Reported: self._report,
-            ReportRecalled: self._recall,
-            Departed: self._depart,
+            ReportReceived: self._report,
+            StoredReportRead: self._recall,
+            EndpointExiting: self._depart,
             StartAnswered: self.runner.hear_start,
-            Held: self.runner.hear_hold,
-            HoldFailed: self.runner.hear_hold_failed,
+            RenewalAnswered: self.runner.hear_hold,
+            RenewalFailed: self.runner.hear_hold_failed,
             StopRequested: self._stop,
-            Lagged: self._note_lag,
+            LagMeasured: self._note_lag,
             Tick: self._tick,
         }
         self._receivers: dict[type, Callable] = {
@@ -142,7 +142,7 @@
         self._now = now
         self._out = []
         self.runner.begin(now, self._out)
-        if self.links.begin(now):
+        if self.links.begin_event(now):
             for link in self.links:
                 self._drop_link(link.stream, "stood_still")
         self._handlers[type(event)](event)
@@ -153,7 +153,7 @@
         self._tell_all()
         self.runner.answer_claims()
         self._check_quiet()
-        self.links.note_sent(self._out, now)
+        self.links.record_sent(self._out, now)
         return self._out
 
     @property
@@ -196,7 +196,7 @@
         }
 
     def _note(self, event: str, request: str = "", **fields: object) -> None:
-        self._out.append(Note(event, request, fields))
+        self._out.append(LogDecision(event, request, fields))
 
     def _send(self, stream: int, message: Message) -> None:
         self._out.append(Send(stream, message))
@@ -204,12 +204,12 @@
     # Streams
 
     def _learn(self, event: AddressesRead) -> None:
-        self.links.addresses.learn(event.addresses, self._now)
+        self.links.addresses.add(event.addresses, self._now)
         self._dial()
 
     def _hear_peers(self, link: Link, peers: Peers) -> None:
         del link
-        self.links.addresses.learn(peers.entries, self._now)
+        self.links.addresses.add(peers.entries, self._now)
         self._dial()
 
     def _dial(self) -> None:
@@ -225,7 +225,7 @@
             self._out.append(CloseStream(event.stream, "not an entry's greeting"))
             return
         assert isinstance(hello, Hello)
-        link = self.links.open(event.stream, hello, event.address, self._now)
+        link = self.links.add_stream(event.stream, hello, event.address, self._now)
         if link is None:
             self._out.append(CloseStream(event.stream, "self"))
             return
@@ -239,7 +239,7 @@
         self._send(event.stream, Holding(owned, self._now))
 
     def _close(self, event: StreamClosed) -> None:
-        link = self.links.close(event.stream, event.address, self._now)
+        link = self.links.remove_stream(event.stream, event.address, self._now)
         self._bulletins.forget(event.stream)
         if link is None:
             return
@@ -250,7 +250,7 @@
             self.runner.forget_lives()
 
     def _receive(self, event: Received) -> None:
-        link = self.links.hear(event.stream, self._now)
+        link = self.links.record_frame(event.stream, self._now)
         if link is None:
             self._drop_link(event.stream, "silence")
             return
@@ -283,7 +283,7 @@
 
     # The endpoint itself
 
-    def _report(self, event: Reported) -> None:
+    def _report(self, event: ReportReceived) -> None:
         report = event.report
         if self.endpoint.suspect(report):
             return
@@ -297,17 +297,17 @@
                 open=self.endpoint.open,
                 draining=report.draining,
             )
-            self._out.append(KeepReport(report))
+            self._out.append(StoreReport(report))
         self.shelf.capacity = self.endpoint.capacity
         if not self.endpoint.open:
             self.runner.return_parked()
 
-    def _recall(self, event: ReportRecalled) -> None:
+    def _recall(self, event: StoredReportRead) -> None:
         if self.endpoint.recall(event.report, self._now):
             self._note("endpoint_recalled", instance=event.report.instance)
             self.shelf.capacity = self.endpoint.capacity
 
-    def _depart(self, event: Departed) -> None:
+    def _depart(self, event: EndpointExiting) -> None:
         if event.instance == self.endpoint.instance:
             self._lose_endpoint("left")
 
@@ -318,11 +318,11 @@
         self.endpoint.forget()
         self.runner.lose_all(RunEnd.LOST)
         if successor is not None:
-            self._report(Reported(successor))
+            self._report(ReportReceived(successor))
 
     # Time
 
-    def _note_lag(self, event: Lagged) -> None:
+    def _note_lag(self, event: LagMeasured) -> None:
         change = self.pressure.observe(event.seconds, self._now)
         if change is not None:
             self.counts.add("pressure_changes", change.event)
@@ -344,25 +344,25 @@
             self.runner.return_parked()
 
     def _end_silent(self) -> None:
-        silent = self.links.list_silent(self._now)
+        silent = self.links.list_timed_out(self._now)
         for link in silent:
             self._drop_link(link.stream, "silence")
         if silent:
             self._probe_idle()
 
     def _probe_idle(self) -> None:
-        for link in self.links.probe(self._now):
+        for link in self.links.start_probes(self._now):
             self.counts.add("streams_probed")
             self._send(link.stream, Probe(self._now))
 
     def _prove_life(self) -> None:
-        if self._now < self.links.look_at:
+        if self._now < self.links.next_check_at:
             return
         pulse = self._make_pulse()
-        unproved = self.links.list_unproved(self._now)
+        unproved = self.links.list_due_heartbeats(self._now)
         for link in self.links:
-            changed = abs(pulse.slowness - link.told_slowness) >= SLOWNESS_STEP
-            changed = changed or abs(pulse.lag - link.told_lag) >= LAG_STEP
+            changed = abs(pulse.slowness - link.announced_slowness) >= SLOWNESS_STEP
+            changed = changed or abs(pulse.lag - link.announced_lag) >= LAG_STEP
             if changed or link in unproved:
                 self._send_pulse(link, pulse)
 
@@ -371,8 +371,8 @@
         return Pulse([], slowness, self._now, round(self.pressure.mean, 3))
 
     def _send_pulse(self, link: Link, pulse: Pulse) -> None:
-        link.told_slowness = pulse.slowness
-        link.told_lag = pulse.lag
+        link.announced_slowness = pulse.slowness
+        link.announced_lag = pulse.lag
         self._send(link.stream, pulse)
 
     def _hear_probe(self, link: Link, message: Probe) -> None:
@@ -395,7 +395,7 @@
     def _check_quiet(self) -> None:
         if self.stopping and not self._quiet and not self.shelf.runs:
             self._quiet = True
-            self._out.append(Quiet())
+            self._out.append(ShutdownComplete())
 
     # What entries are told
 
@@ -408,7 +408,7 @@
         silent = False
         for link in self.links:
             if link.hello.incarnation not in owners:
-                silent = link.rest(self._now) or silent
+                silent = link.mark_idle(self._now) or silent
             elif link.busy_since == math.inf:
                 link.busy_since = self._now
         if silent:
--- a/src/godwitbank/_internal/core/runs/claims.py
+++ b/src/godwitbank/_internal/core/runs/claims.py
@@ -9,13 +9,13 @@
 from collections import OrderedDict
 from typing import NamedTuple
 
-from godwitbank._internal.core.runs.links import SILENCE
+from godwitbank._internal.core.runs.links import BUSY_TIMEOUT_SECONDS
 
 KEEP_SECONDS = 20.0
 """Seconds a claim is kept; longer than any caller waits (10 s)."""
 
 
-SAME_MOMENT = SILENCE
+SAME_MOMENT = BUSY_TIMEOUT_SECONDS
 """Seconds between two claims within which agents may hear either first: what was held
 up for longer isn't read any more."""
 
--- a/src/godwitbank/_internal/core/runs/delays.py
+++ b/src/godwitbank/_internal/core/runs/delays.py
@@ -10,49 +10,49 @@
 from godwitbank._internal.models.run_messages import Yield, Yielded
 
 
-class Delayed:
+class DelayedJob:
     """A job whose start waits until others' runs of it are gone.
 
     :param abandoned: it won't be started here; a third entry waits in turn.
-    :param claiming: agents were asked to stop others' runs of it.
-    :param claimed_at: streams of the agents that have not answered yet.
-    :param stopping: streams of those that still stop runs of it.
+    :param claim_sent: agents were asked to stop others' runs of it.
+    :param unanswered_streams: streams of the agents that have not answered yet.
+    :param stopping_streams: streams of those that still stop runs of it.
     """
 
     __slots__ = (
         "job",
-        "asked_at",
+        "requested_at",
         "start_at",
         "abandoned",
-        "claiming",
-        "claimed_at",
-        "stopping",
+        "claim_sent",
+        "unanswered_streams",
+        "stopping_streams",
     )
 
     def __init__(self, job: Job, now: float, start_at: float) -> None:
         self.job = job
-        self.asked_at = now
+        self.requested_at = now
         self.start_at = start_at
         self.abandoned = False
-        self.claiming = False
-        self.claimed_at: set[int] = set()
-        self.stopping: set[int] = set()
+        self.claim_sent = False
+        self.unanswered_streams: set[int] = set()
+        self.stopping_streams: set[int] = set()
 
-    def claim(self, streams: Iterable[int]) -> None:
+    def record_claim(self, streams: Iterable[int]) -> None:
         """Note that agents were asked to stop others' runs of it."""
-        self.claiming = True
-        self.claimed_at = set(streams)
+        self.claim_sent = True
+        self.unanswered_streams = set(streams)
 
-    def hear_claimed(self, stream: int, over: bool) -> bool:
+    def handle_claimed(self, stream: int, over: bool) -> bool:
         """Take an agent's answer; tells whether all have answered that all is over."""
-        if stream not in self.claimed_at:
+        if stream not in self.unanswered_streams:
             return False
         if not over:
-            self.stopping.add(stream)
+            self.stopping_streams.add(stream)
             return False
-        self.stopping.discard(stream)
-        self.claimed_at.discard(stream)
-        return not self.claimed_at
+        self.stopping_streams.discard(stream)
+        self.unanswered_streams.discard(stream)
+        return not self.unanswered_streams
 
     def may_start(
         self, links: Mapping[int, Link], now: float, expects_answers: bool
@@ -63,23 +63,24 @@
         :param expects_answers: whether the orders of a lost entry may still be in
             force at an agent that has not answered yet.
         """
-        awaited = self.claimed_at if expects_answers else self.stopping
+        awaited = self.unanswered_streams if expects_answers else self.stopping_streams
         gone = awaited - links.keys()
         if gone:
             # An agent was lost that may have runs of it; their leases end.
-            self.claimed_at -= gone
-            self.stopping -= gone
+            self.unanswered_streams -= gone
+            self.stopping_streams -= gone
             self.start_at = now + LAPSE_SECONDS
             return False
-        if self.stopping:
+        if self.stopping_streams:
             return False
         return not expects_answers or not any(
-            now - max(links[stream].heard_at, self.asked_at) <= LAPSE_SECONDS
-            for stream in self.claimed_at
+            now - max(links[stream].last_received_at, self.requested_at)
+            <= LAPSE_SECONDS
+            for stream in self.unanswered_streams
         )
 
 
-class Yields:
+class YieldWaiters:
     """Whom to tell once a job has stopped here, or where it was asked to stop."""
 
     def __init__(self) -> None:
@@ -87,7 +88,7 @@
         self._relayed: dict[str, list[int]] = {}
         self._out: Callable[[RunAction], None] = lambda action: None
 
-    def begin(self, out: Callable[[RunAction], None]) -> None:
+    def begin_event(self, out: Callable[[RunAction], None]) -> None:
         """Prepare for one event."""
         self._out = out
 
--- a/src/godwitbank/_internal/core/runs/dispatcher.py
+++ b/src/godwitbank/_internal/core/runs/dispatcher.py
@@ -10,7 +10,7 @@
 from godwitbank._internal.core.runs.admission import COME_BACK, HORIZONS, Admission
 from godwitbank._internal.core.runs.deployment import USUAL, Deployment
 from godwitbank._internal.core.runs.estimates import Estimates
-from godwitbank._internal.core.runs.events import Answer, Note, RunAction
+from godwitbank._internal.core.runs.events import AnswerCaller, LogDecision, RunAction
 from godwitbank._internal.core.runs.fleet import ARRIVAL_WAIT, AgentView, Fleet
 from godwitbank._internal.core.runs.lease import LAPSE_SECONDS
 from godwitbank._internal.core.runs.placement import Chooser, Place
@@ -97,7 +97,7 @@
         self._out = out
 
     def _note(self, event: str, request: str, **fields: object) -> None:
-        self._out(Note(event, request, fields))
+        self._out(LogDecision(event, request, fields))
 
     # Jobs
 
@@ -183,7 +183,7 @@
         end = JobEnd.GIVEN_UP if job.ran else JobEnd.REFUSED
         result = JobResult(job.spec.job, end, reason, job.ran, COME_BACK)
         for caller in job.callers:
-            self._out(Answer(caller, result))
+            self._out(AnswerCaller(caller, result))
 
     def _get_waiting(self, job: Job) -> WaitingTasks:
         service = job.queue.service
@@ -211,7 +211,7 @@
     def _finish(self, job: Job, result: JobResult) -> None:
         job.ending = True
         for caller in job.callers:
-            self._out(Answer(caller, result))
+            self._out(AnswerCaller(caller, result))
         job.callers = []
         self._note(
             "job_ended",
@@ -301,7 +301,7 @@
             rules.spread,
             task.checkpoint,
             parked,
-            view.link.read_clock(self._now),
+            view.link.estimate_clock(self._now),
         )
         self._out(Send(view.stream, order))
 
--- a/src/godwitbank/_internal/core/runs/endpoint.py
+++ b/src/godwitbank/_internal/core/runs/endpoint.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from godwitbank._internal.core.runs.deployment import USUAL, Deployment
-from godwitbank._internal.core.runs.events import Renew, Start, Stop
+from godwitbank._internal.core.runs.events import OrderStart, OrderStop, RenewLease
 from godwitbank._internal.core.runs.lease import EndpointClock
 from godwitbank._internal.models.jobs import EndpointReport
 from godwitbank._internal.models.resources import Resources
@@ -205,12 +205,12 @@
 
     # Orders
 
-    def make_start(self, order: StartRun, now: float, ends_by: float) -> Start:
+    def make_start(self, order: StartRun, now: float, ends_by: float) -> OrderStart:
         """Make the order to start a run.
 
         :param ends_by: when everything here must be over unless it is renewed.
         """
-        return Start(
+        return OrderStart(
             self.instance,
             order.task,
             order.run,
@@ -221,11 +221,11 @@
             self.patience,
         )
 
-    def make_stop(self, task: str, run: int) -> Stop:
+    def make_stop(self, task: str, run: int) -> OrderStop:
         """Make the order to stop a run."""
-        return Stop(self.instance, task, run, self.token)
+        return OrderStop(self.instance, task, run, self.token)
 
-    def list_renewals(self, now: float, busy: bool, ends_by: float) -> list[Renew]:
+    def list_renewals(self, now: float, busy: bool, ends_by: float) -> list[RenewLease]:
         """List the lease renewals to send now.
 
         One waits at the endpoint for an end at any time while something runs;
@@ -251,7 +251,7 @@
             return []
         return [self._renew(now, int(RENEWAL_WAIT * 1000), ends_by)]
 
-    def _renew(self, now: float, wait: int, ends_by: float) -> Renew:
+    def _renew(self, now: float, wait: int, ends_by: float) -> RenewLease:
         self._next_renewal += 1
         number = self._next_renewal
         # What a former agent started must not live on by this agent's lease. And
@@ -260,7 +260,7 @@
         grants = not self._inherits and self._unanswered < DEAF_RENEWALS
         until = self.clock.grant(now, ends_by) if grants and ends_by > now else None
         self._renewals[number] = Renewal(self.token, now)
-        return Renew(
+        return RenewLease(
             number,
             self.instance,
             until,
@@ -291,7 +291,9 @@
         self._seen = number
         return True
 
-    def deal_with_strangers(self, strangers: list[Unknown], now: float) -> list[Stop]:
+    def deal_with_strangers(
+        self, strangers: list[Unknown], now: float
+    ) -> list[OrderStop]:
         """Stop what a former agent started; without any, the endpoint is settled."""
         self.settled = not strangers
         if not strangers:
--- a/src/godwitbank/_internal/core/runs/entry.py
+++ b/src/godwitbank/_internal/core/runs/entry.py
@@ -27,15 +27,15 @@
 )
 from godwitbank._internal.core.runs.events import (
     AddressesRead,
-    CallerGone,
+    CallerDisconnected,
     ConfigurationRead,
     EvacuationRead,
     JobCancelled,
     JobSubmitted,
-    Lagged,
-    Note,
-    Quiet,
+    LagMeasured,
+    LogDecision,
     RunAction,
+    ShutdownComplete,
 )
 from godwitbank._internal.core.runs.fleet import AgentView
 from godwitbank._internal.core.runs.forwarding import Forwarding
@@ -84,11 +84,11 @@
     Yielded,
 )
 
-NEWS_SECONDS = 1.0
+ANNOUNCE_ENTRIES_SECONDS = 1.0
 """Seconds between two messages about entries newly known. Whoever opens a stream is
 told of all at once; an agent has other entries meanwhile."""
 
-TICK = 0.05
+DEADLINE_CHECK_SECONDS = 0.05
 """Seconds between looks at deadlines while jobs are in flight."""
 
 
@@ -137,14 +137,14 @@
             rng,
             identity.zone,
         )
-        self.dispatcher.hand_on = self.forwarding.try_forward_for_room
+        self.dispatcher.hand_on = self.forwarding.try_forward_for_capacity
         self.forwarding.find_home = self.handover.find_home
         self.forwarding.acquire = self.handover.acquire_at_once
         self.forwarding.resubmit = self.handover.submit_contested
-        self.forwarding.on_gone = self.dispatcher.on_gone
-        self.forwarding.on_left = self.handover.leave_to
+        self.forwarding.on_job_finished = self.dispatcher.on_gone
+        self.forwarding.on_job_unresolved = self.handover.leave_to
         self.handover.join = self.forwarding.join_at
-        self.handover.has_handed_on = self.forwarding.has_handed_on
+        self.handover.has_handed_on = self.forwarding.has_transferred
         self.intake = Intake(
             self.routes,
             self.dispatcher,
@@ -164,13 +164,13 @@
             ConfigurationRead: self._read_configuration,
             EvacuationRead: self._read_evacuation,
             JobSubmitted: self.intake.submit,
-            CallerGone: self.intake.lose_caller,
+            CallerDisconnected: self.intake.lose_caller,
             JobCancelled: self.intake.cancel,
             StreamOpened: self._open,
             StreamClosed: self._close,
             Received: self._receive,
             StopRequested: self._stop,
-            Lagged: self._note_lag,
+            LagMeasured: self._note_lag,
             Tick: self._tick,
         }
         self._agent_receivers: dict[type, Callable] = {
@@ -200,7 +200,7 @@
             Located: self.handover.whereabouts.hear_located,
             Goodbye: self._hear_goodbye,
             Forward: self.intake.hear_forward,
-            Forwarded: self.forwarding.hear_result,
+            Forwarded: self.forwarding.handle_result,
             Withdraw: self.intake.hear_withdraw,
         }
 
@@ -211,13 +211,13 @@
         self.dispatcher.begin(now, self._out.append)
         self.handover.begin(now, self._out.append)
         self.intake.begin(now, self._out.append)
-        if self.links.begin(now):
+        if self.links.begin_event(now):
             self._wake()
         self._handlers[type(event)](event)
         self.handover.check()
         self._check_quiet()
         actions = self.intake.route(self._out)
-        self.links.note_sent(actions, now)
+        self.links.record_sent(actions, now)
         return actions
 
     @property
@@ -227,9 +227,9 @@
         return min(self.links.next_wakeup(), self._tick_at if busy else math.inf)
 
     @property
-    def sheds(self) -> bool:
+    def sheds_load(self) -> bool:
         """Whether callers are to be refused before their requests are read."""
-        return self.forwarding.sheds
+        return self.forwarding.sheds_load
 
     @property
     def ready(self) -> bool:
@@ -265,7 +265,7 @@
         }
 
     def _note(self, event: str, request: str = "", **fields: object) -> None:
-        self._out.append(Note(event, request, fields))
+        self._out.append(LogDecision(event, request, fields))
 
     def _send(self, stream: int, message: Message) -> None:
         self._out.append(Send(stream, message))
@@ -273,7 +273,7 @@
     # Streams
 
     def _learn(self, event: AddressesRead) -> None:
-        self._news += self.links.addresses.learn(event.addresses, self._now)
+        self._news += self.links.addresses.add(event.addresses, self._now)
         self._dial()
 
     def _tell_news(self) -> None:
@@ -284,7 +284,7 @@
         """
         if not self._news or self._now < self._news_at:
             return
-        self._news_at = self._now + NEWS_SECONDS
+        self._news_at = self._now + ANNOUNCE_ENTRIES_SECONDS
         news, self._news = Peers(self._news, []), []
         for link in self.links:
             self._send(link.stream, news)
@@ -300,7 +300,7 @@
             self.counts.add("streams_refused", "greeting")
             self._out.append(CloseStream(event.stream, "unknown greeting"))
             return
-        link = self.links.open(event.stream, hello, event.address, self._now)
+        link = self.links.add_stream(event.stream, hello, event.address, self._now)
         if link is None:
             self._out.append(CloseStream(event.stream, "self"))
             return
@@ -310,7 +310,7 @@
         if hello.role == Role.AGENT:
             self._open_agent(link)
             return
-        self._news += self.links.addresses.learn([hello.address], self._now)
+        self._news += self.links.addresses.add([hello.address], self._now)
         self._dial()
         self._send(event.stream, Peers(self.links.addresses.list_known(), []))
         self.handover.regain_peer(link)
@@ -337,7 +337,7 @@
         self._send(link.stream, Peers(self.links.addresses.list_known(), []))
 
     def _close(self, event: StreamClosed) -> None:
-        link = self.links.close(event.stream, event.address, self._now)
+        link = self.links.remove_stream(event.stream, event.address, self._now)
         if link is None:
             return
         self.counts.add("streams_lost", link.hello.role)
@@ -368,8 +368,8 @@
         self._close(StreamClosed(stream))
 
     def _receive(self, event: Received) -> None:
-        doubted = self.links.doubts(event.stream)
-        link = self.links.hear(event.stream, self._now)
+        doubted = self.links.has_pending_probe(event.stream)
+        link = self.links.record_frame(event.stream, self._now)
         if link is None:
             self._drop_link(event.stream, "silence")
             return
@@ -403,14 +403,14 @@
     def _hear_agents_pulse(self, view: AgentView, pulse: Pulse) -> None:
         view.slowness = pulse.slowness
         view.lag = pulse.lag
-        view.link.hear_clock(pulse.clock, self._now)
+        view.link.update_clock(pulse.clock, self._now)
 
     def _hear_probe(self, view: AgentView, probe: Probe) -> None:
-        view.link.hear_clock(probe.clock, self._now)
-        self._send(view.link.stream, Alive(view.link.read_clock(self._now)))
+        view.link.update_clock(probe.clock, self._now)
+        self._send(view.link.stream, Alive(view.link.estimate_clock(self._now)))
 
     def _hear_holding(self, view: AgentView, holding: Holding) -> None:
-        view.link.hear_clock(holding.clock, self._now)
+        view.link.update_clock(holding.clock, self._now)
         self.dispatcher.reconcile(view, holding.tasks)
 
     # Peers
@@ -421,7 +421,7 @@
 
     def _hear_pulse(self, link: Link, pulse: Pulse) -> None:
         link.lag = pulse.lag
-        link.hear_clock(pulse.clock, self._now)
+        link.update_clock(pulse.clock, self._now)
         self.dispatcher.admission.hear(link.hello.incarnation, pulse.backlog)
 
     def _hear_goodbye(self, link: Link, message: Goodbye) -> None:
@@ -480,7 +480,7 @@
 
     # Time
 
-    def _note_lag(self, event: Lagged) -> None:
+    def _note_lag(self, event: LagMeasured) -> None:
         change = self.pressure.observe(event.seconds, self._now)
         if change is not None:
             self.counts.add("pressure_changes", change.event)
@@ -491,23 +491,23 @@
         self._end_silent()
         self._dial()
         self._tell_news()
-        for link in self.links.list_unproved(self._now):
-            self._send(link.stream, Alive(link.read_clock(self._now)))
-        peers = self.links.list_unproved_peers(self._now)
+        for link in self.links.list_due_heartbeats(self._now):
+            self._send(link.stream, Alive(link.estimate_clock(self._now)))
+        peers = self.links.list_due_peer_heartbeats(self._now)
         if peers:
             self._tell_peers(peers)
         if self._now >= self._tick_at:
-            self._tick_at = self._now + TICK
+            self._tick_at = self._now + DEADLINE_CHECK_SECONDS
             self.forwarding.give_up_expired()
             self.handover.give_up_expired()
             self.handover.start_delayed()
             self.dispatcher.check_times()
 
     def _end_silent(self) -> None:
-        silent = self.links.list_silent(self._now)
+        silent = self.links.list_timed_out(self._now)
         for link in silent:
             self._drop_link(link.stream, "silence")
-        for link in self.links.probe(self._now) if silent else ():
+        for link in self.links.start_probes(self._now) if silent else ():
             self.counts.add("streams_probed")
             self._send(link.stream, Probe(self._now))
 
@@ -549,4 +549,4 @@
                 self._send(link.stream, Goodbye("stopping"))
             # What still arrives is refused, so that nothing is taken and cut.
             self.dispatcher.ends_at = self._now
-            self._out.append(Quiet())
+            self._out.append(ShutdownComplete())
--- a/src/godwitbank/_internal/core/runs/events.py
+++ b/src/godwitbank/_internal/core/runs/events.py
@@ -22,15 +22,15 @@
     """A caller handed over a job.
 
     :param caller: the shell's number of the request.
-    :param patience: seconds the caller waits for the result.
+    :param timeout_seconds: seconds the caller waits for the result.
     """
 
     caller: int
     spec: JobSpec
-    patience: float
+    timeout_seconds: float
 
 
-class CallerGone(NamedTuple):
+class CallerDisconnected(NamedTuple):
     """A caller hung up before its result."""
 
     caller: int
@@ -60,25 +60,25 @@
     addresses: tuple[str, ...]
 
 
-class Lagged(NamedTuple):
+class LagMeasured(NamedTuple):
     """The event loop of this process was late, by some seconds."""
 
     seconds: float
 
 
-class Reported(NamedTuple):
+class ReportReceived(NamedTuple):
     """The endpoint reported about itself."""
 
     report: EndpointReport
 
 
-class ReportRecalled(NamedTuple):
+class StoredReportRead(NamedTuple):
     """The endpoint's last report, as kept in the store by a former agent."""
 
     report: EndpointReport
 
 
-class Departed(NamedTuple):
+class EndpointExiting(NamedTuple):
     """The endpoint said that it ends now."""
 
     instance: str
@@ -99,10 +99,10 @@
     clock: int | None
 
 
-class Held(NamedTuple):
+class RenewalAnswered(NamedTuple):
     """An endpoint's answer to a lease renewal.
 
-    :param renewal: number of the ``Renew`` it answers.
+    :param renewal: number of the ``RenewLease`` it answers.
     """
 
     renewal: int
@@ -112,7 +112,7 @@
     instance: str
 
 
-class HoldFailed(NamedTuple):
+class RenewalFailed(NamedTuple):
     """A lease renewal was refused or not answered.
 
     :param verdict: a ``HoldVerdict``.
@@ -124,12 +124,12 @@
     clock: int | None
 
 
-class Start(NamedTuple):
+class OrderStart(NamedTuple):
     """Order the endpoint to start a run.
 
     :param lease_until: end of the lease in milliseconds of the endpoint's clock.
     :param token: fencing token.
-    :param patience: seconds to wait for the answer.
+    :param timeout_seconds: seconds to wait for the answer.
     """
 
     instance: str
@@ -139,10 +139,10 @@
     lease_until: int
     token: int
     checkpoint: str
-    patience: float
+    timeout_seconds: float
 
 
-class Stop(NamedTuple):
+class OrderStop(NamedTuple):
     """Order the endpoint to stop a run."""
 
     instance: str
@@ -151,13 +151,13 @@
     token: int
 
 
-class Renew(NamedTuple):
+class RenewLease(NamedTuple):
     """Renew the lease of all that runs, and learn what runs and what ended.
 
-    :param lease_until: as in ``Start``; ``None`` renews nothing.
+    :param lease_until: as in ``OrderStart``; ``None`` renews nothing.
     :param seen: number of the last end that was dealt with.
     :param wait: milliseconds the endpoint may wait for an end.
-    :param patience: seconds to wait for the answer beyond that.
+    :param timeout_seconds: seconds to wait for the answer beyond that.
     """
 
     renewal: int
@@ -166,23 +166,23 @@
     token: int
     seen: int
     wait: int
-    patience: float
+    timeout_seconds: float
 
 
-class KeepReport(NamedTuple):
+class StoreReport(NamedTuple):
     """Keep a report in the store, for an agent that is started anew."""
 
     report: EndpointReport
 
 
-class Answer(NamedTuple):
+class AnswerCaller(NamedTuple):
     """Tell a caller the result of its job."""
 
     caller: int
     result: JobResult
 
 
-class Note(NamedTuple):
+class LogDecision(NamedTuple):
     """Write one decision to the log.
 
     :param request: the job or task it is about, or an empty string.
@@ -193,7 +193,7 @@
     fields: dict[str, object]
 
 
-class Quiet(NamedTuple):
+class ShutdownComplete(NamedTuple):
     """Nothing is left to do; a stopping process may exit."""
 
 
@@ -201,11 +201,11 @@
     Send
     | CloseStream
     | Dial
-    | Start
-    | Stop
-    | Renew
-    | KeepReport
-    | Answer
-    | Note
-    | Quiet
+    | OrderStart
+    | OrderStop
+    | RenewLease
+    | StoreReport
+    | AnswerCaller
+    | LogDecision
+    | ShutdownComplete
 )
--- a/src/godwitbank/_internal/core/runs/forwarding.py
+++ b/src/godwitbank/_internal/core/runs/forwarding.py
@@ -14,9 +14,9 @@
 from godwitbank._internal.core.pressure import Pressure
 from godwitbank._internal.core.runs.admission import COME_BACK, Admission
 from godwitbank._internal.core.runs.events import (
-    Answer,
+    AnswerCaller,
     JobSubmitted,
-    Note,
+    LogDecision,
     RunAction,
 )
 from godwitbank._internal.core.runs.links import Link, Links
@@ -29,28 +29,28 @@
     Withdraw,
 )
 
-FORWARD_LAG = 0.01
+FORWARD_LAG_SECONDS = 0.01
 """Seconds of lateness from which new jobs are handed on; a third of that at which they
 are refused, as the way to another entry and back costs a job little."""
 
-SPARE_LAG = 0.005
+SPARE_LAG_SECONDS = 0.005
 """Mean lateness in seconds below which an entry is handed jobs of others. Above
 ``FORWARD_LAG`` entries with nothing to spare hand jobs to each other."""
 
-SHED_LAG = 0.1
+SHED_LAG_SECONDS = 0.1
 """Seconds of lateness from which even handing on is too much work: callers are refused
 before their requests are read, which takes a tenth of the processor time of a job."""
 
-CHOICES = 2
+RANDOM_CHOICES = 2
 """Entries drawn at random of which the less late one is taken: what they tell is a
 pulse old, and the least late of all would be handed everything meanwhile."""
 
-RESULT_SECONDS = 0.2
+RESULT_GRACE_SECONDS = 0.2
 """Seconds beyond a caller's patience that its job's result may take from another entry,
 which gives the job up in time itself."""
 
 
-class Handed(NamedTuple):
+class ForwardedJob(NamedTuple):
     """A job that another entry serves for callers here.
 
     :param server: incarnation of the other entry.
@@ -67,16 +67,16 @@
     joined: Job | None = None
 
 
-class Wanted(NamedTuple):
+class ForwardRequest(NamedTuple):
     """A job to be served by another entry.
 
-    :param patience: seconds its callers wait.
+    :param timeout_seconds: seconds its callers wait.
     :param acquired: whether this entry might start it; its right goes along.
     """
 
     spec: JobSpec
     callers: list[int]
-    patience: float
+    timeout_seconds: float
     acquired: bool
 
 
@@ -98,21 +98,21 @@
         self._counts = counts
         self._rng = rng
         self._zone = zone
-        self._handed: dict[str, Handed] = {}
+        self._handed: dict[str, ForwardedJob] = {}
         self.resubmit: Callable[[Job], None] = lambda job: None
         """Starts a job here that another entry was to serve."""
         self.find_home: Callable[[str], Link | None] = lambda job: None
         """Finds the entry that decides about a job, if it is another one."""
         self.acquire: Callable[[str], bool] = lambda job: False
         """Tells whether this entry may start a job, where it decides about that."""
-        self.on_gone: Callable[[str], None] = lambda job: None
+        self.on_job_finished: Callable[[str], None] = lambda job: None
         """Told of each job that was handed on with the right to start it, and ended."""
-        self.on_left: Callable[[str, str], None] = lambda job, server: None
+        self.on_job_unresolved: Callable[[str, str], None] = lambda job, server: None
         """Told of each such job that another entry may still run, and of that one."""
         self._now = 0.0
         self._out: Callable[[RunAction], None] = lambda action: None
 
-    def begin(self, now: float, out: Callable[[RunAction], None]) -> None:
+    def begin_event(self, now: float, out: Callable[[RunAction], None]) -> None:
         """Prepare for one event."""
         self._now = now
         self._out = out
@@ -126,17 +126,17 @@
         """Tell whether another entry serves a job for this one."""
         return job in self._handed
 
-    def has_handed_on(self, job: str) -> bool:
+    def has_transferred(self, job: str) -> bool:
         """Tell whether a job that this entry might start was handed on."""
         handed = self._handed.get(job)
         return handed is not None and handed.acquired
 
     @property
-    def sheds(self) -> bool:
+    def sheds_load(self) -> bool:
         """Whether requests are refused before they are read."""
         if not self._pressure.behind:
             return False
-        return self._pressure.lag >= SHED_LAG or not any(self._list_spare())
+        return self._pressure.lag >= SHED_LAG_SECONDS or not any(self._list_spare())
 
     def join(self, event: JobSubmitted) -> bool:
         """Let a caller wait for a job that was handed on already, if it was."""
@@ -158,7 +158,7 @@
 
     def try_forward(self, event: JobSubmitted) -> bool:
         """Hand a job on, if this entry is late and another one is not."""
-        if self._pressure.lag < FORWARD_LAG:
+        if self._pressure.lag < FORWARD_LAG_SECONDS:
             return False
         spare = list(self._list_spare())
         link = self.find_home(event.spec.job)
@@ -167,11 +167,13 @@
             link = self._choose(spare)
             acquired = link is not None and self.acquire(event.spec.job)
         if link is not None:
-            wanted = Wanted(event.spec, [event.caller], event.patience, acquired)
+            wanted = ForwardRequest(
+                event.spec, [event.caller], event.timeout_seconds, acquired
+            )
             self._hand(wanted, link, "processor")
         return link is not None
 
-    def try_forward_for_room(self, job: Job) -> bool:
+    def try_forward_for_capacity(self, job: Job) -> bool:
         """Hand on a job for which there is no room here, if another entry has some.
 
         An entry meets some of the agents only; with callers spread unevenly its agents
@@ -188,15 +190,15 @@
         link = self._choose(idle)
         if link is not None:
             patience = job.deadline - self._now
-            wanted = Wanted(job.spec, job.callers, patience, True)
+            wanted = ForwardRequest(job.spec, job.callers, patience, True)
             self._hand(wanted, link, "room")
         return link is not None
 
-    def _hand(self, wanted: Wanted, link: Link, why: str) -> None:
+    def _hand(self, wanted: ForwardRequest, link: Link, why: str) -> None:
         spec, callers, patience, acquired = wanted
-        expires_at = self._now + patience + RESULT_SECONDS
+        expires_at = self._now + patience + RESULT_GRACE_SECONDS
         server = link.hello.incarnation
-        handed = Handed(list(callers), link.stream, server, expires_at, acquired)
+        handed = ForwardedJob(list(callers), link.stream, server, expires_at, acquired)
         self._handed[spec.job] = handed
         steps = [list(step) for step in spec.steps]
         message = Forward(spec.job, spec.queue, spec.payload, steps, patience, acquired)
@@ -205,42 +207,42 @@
         lag = round(self._pressure.lag, 3)
         fields: dict[str, object] = {"entry": link.hello.process, "lag": lag}
         fields["reason"] = why
-        self._out(Note("job_forwarded", spec.job, fields))
+        self._out(LogDecision("job_forwarded", spec.job, fields))
 
     def _choose(self, spare: list[Link]) -> Link | None:
         if not spare:
             return None
-        drawn = self._rng.sample(spare, min(CHOICES, len(spare)))
+        drawn = self._rng.sample(spare, min(RANDOM_CHOICES, len(spare)))
         return min(drawn, key=lambda link: (link.lag, link.hello.zone != self._zone))
 
     def _list_spare(self) -> Iterator[Link]:
         for link in self._links.list_peers():
             # One that is gone would hold a job until its stream is given up.
-            fresh = self._links.is_fresh(link, self._now) and not link.leaving
-            if fresh and link.lag < SPARE_LAG:
+            fresh = self._links.is_responsive(link, self._now) and not link.leaving
+            if fresh and link.lag < SPARE_LAG_SECONDS:
                 yield link
 
     def join_at(self, job: Job, link: Link) -> None:
         """Let the callers of a job wait for it at an entry that has it."""
         name = job.spec.job
         patience = job.deadline - self._now
-        expires_at = job.deadline + RESULT_SECONDS
+        expires_at = job.deadline + RESULT_GRACE_SECONDS
         server = link.hello.incarnation
-        handed = Handed(job.callers, link.stream, server, expires_at, joined=job)
+        handed = ForwardedJob(job.callers, link.stream, server, expires_at, joined=job)
         self._handed[name] = handed
         self._out(Send(link.stream, Join(name, patience)))
         self._counts.add("jobs_forwarded", "joined")
         fields: dict[str, object] = {"entry": link.hello.process, "reason": "joined"}
-        self._out(Note("job_forwarded", name, fields))
+        self._out(LogDecision("job_forwarded", name, fields))
 
-    def hear_yielded(self, stream: int, job: str) -> None:
+    def handle_yielded(self, stream: int, job: str) -> None:
         """Serve a job here that its callers were to wait for at another entry."""
         handed = self._handed.get(job)
         if handed is not None and handed.joined and handed.stream == stream:
             del self._handed[job]
             self.resubmit(handed.joined)
 
-    def hear_result(self, link: Link, message: Forwarded) -> None:
+    def handle_result(self, link: Link, message: Forwarded) -> None:
         """Tell the callers of a job its result."""
         handed = self._handed.get(message.job)
         if handed is None or handed.stream != link.stream:
@@ -249,26 +251,26 @@
         end = JobEnd(message.end)
         result = JobResult(message.job, end, message.reason, message.ran, retry_after)
         if handed.acquired:
-            self.on_gone(message.job)
+            self.on_job_finished(message.job)
         self._answer(result)
 
     def _answer(self, result: JobResult) -> None:
         handed = self._handed.pop(result.job)
         self._counts.add("forwarded_ended", result.end)
         fields: dict[str, object] = {"end": result.end, "reason": result.reason}
-        self._out(Note("forwarded_ended", result.job, fields))
+        self._out(LogDecision("forwarded_ended", result.job, fields))
         for caller in handed.callers:
-            self._out(Answer(caller, result))
+            self._out(AnswerCaller(caller, result))
 
     def _give_up(self, job: str, reason: str) -> None:
         # Whether it ran can't be known here any more.
         handed = self._handed[job]
         if handed.acquired:
-            self.on_left(job, handed.server)
+            self.on_job_unresolved(job, handed.server)
         result = JobResult(job, JobEnd.GIVEN_UP, reason, True, COME_BACK)
         self._answer(result)
 
-    def lose_caller(self, caller: int) -> None:
+    def handle_caller_loss(self, caller: int) -> None:
         """Withdraw the jobs that only a caller who is gone waits for."""
         for job, handed in list(self._handed.items()):
             if caller in handed.callers:
@@ -283,7 +285,7 @@
             self._out(Send(handed.stream, Withdraw(job)))
             self._give_up(job, reason)
 
-    def lose_stream(self, stream: int) -> None:
+    def handle_stream_loss(self, stream: int) -> None:
         """Answer callers whose job was handed on by a stream that ended."""
         for job, handed in list(self._handed.items()):
             if handed.stream != stream:
--- a/src/godwitbank/_internal/core/runs/handover.py
+++ b/src/godwitbank/_internal/core/runs/handover.py
@@ -12,12 +12,12 @@
 
 from godwitbank._internal.core.counters import Counts
 from godwitbank._internal.core.events import Send
-from godwitbank._internal.core.runs.delays import Delayed, Yields
+from godwitbank._internal.core.runs.delays import DelayedJob, YieldWaiters
 from godwitbank._internal.core.runs.dispatcher import Dispatcher
-from godwitbank._internal.core.runs.events import Note, RunAction
+from godwitbank._internal.core.runs.events import LogDecision, RunAction
 from godwitbank._internal.core.runs.fleet import AgentView
 from godwitbank._internal.core.runs.homes import HERE, Homes, Request
-from godwitbank._internal.core.runs.links import SILENCE, Link, Links
+from godwitbank._internal.core.runs.links import BUSY_TIMEOUT_SECONDS, Link, Links
 from godwitbank._internal.core.runs.ownership import (
     CLAIM_SECONDS,
     YIELD_SECONDS,
@@ -73,7 +73,7 @@
         self._links = links
         self._counts = counts
         self._takings = Takings()
-        self._delayed: dict[str, Delayed] = {}
+        self._delayed: dict[str, DelayedJob] = {}
         self._unsorted: dict[str, Job] = {}
         self._asked: dict[str, Asked] = {}
         self._entries_per_agent = entries_per_agent
@@ -94,7 +94,7 @@
         """Tells whether a job that this entry may start was handed on to another."""
         self._readiness = Readiness(links, self._takings, self.whereabouts, now)
         self._tellings = Tellings(links)
-        self._yields = Yields()
+        self._yields = YieldWaiters()
         self._now = now
         self._out: Callable[[RunAction], None] = lambda action: None
 
@@ -106,10 +106,10 @@
         self.homes.begin(now, out)
         self._tellings.begin(out)
         self._readiness.begin(now)
-        self._yields.begin(out)
+        self._yields.begin_event(out)
 
     def _note(self, event: str, request: str, **fields: object) -> None:
-        self._out(Note(event, request, fields))
+        self._out(LogDecision(event, request, fields))
 
     def _send(self, stream: int, message: Message) -> None:
         self._out(Send(stream, message))
@@ -210,7 +210,7 @@
         self._readiness.lose(owner)
         # It may have proved its life to others later than to this entry, by as much as
         # may lie between two proofs.
-        lived_at = min(self._now, link.heard_at + SILENCE)
+        lived_at = min(self._now, link.last_received_at + BUSY_TIMEOUT_SECONDS)
         # Nothing is known of what others did while this entry stood still.
         lived_at = max(lived_at, self._readiness.awake_since)
         self.whereabouts.tell_lost(link, lived_at)
@@ -328,7 +328,7 @@
     def _reach_owner(self, job: Job, owner: str) -> None:
         """Let a job's callers wait at the entry that has it, or stop that one."""
         link = self._links.find(owner)
-        if link is not None and self._links.is_fresh(link, self._now):
+        if link is not None and self._links.is_responsive(link, self._now):
             self.join(job, link)
         else:
             self._ask_owner(job, owner)
@@ -371,7 +371,7 @@
 
     def _is_here(self, name: str) -> bool:
         delayed = self._delayed.get(name)
-        claiming = delayed is not None and delayed.claiming and not delayed.abandoned
+        claiming = delayed is not None and delayed.claim_sent and not delayed.abandoned
         return name in self._dispatcher.jobs or claiming or self.has_handed_on(name)
 
     def _find_holder(self, name: str) -> str | None:
@@ -428,8 +428,8 @@
         start_at = self._now + CLAIM_SECONDS
         if self.homes.was_lost(name):
             start_at = max(start_at, self._takings.find_over())
-        delayed = Delayed(job, self._now, start_at)
-        delayed.claim(views)
+        delayed = DelayedJob(job, self._now, start_at)
+        delayed.record_claim(views)
         self._delayed[name] = delayed
         self._note_delay(name, "claimed", start_at)
         self._tellings.tell(name, self._now)
@@ -439,7 +439,7 @@
     def hear_claimed(self, view: AgentView, message: Claimed) -> None:
         """Count off an agent that runs nothing of a job by others' orders."""
         delayed = self._delayed.get(message.job)
-        if delayed is None or not delayed.claiming:
+        if delayed is None or not delayed.claim_sent:
             return
         if message.lost:
             del self._delayed[message.job]
@@ -447,7 +447,7 @@
             if not delayed.abandoned:
                 self._give_up_unknown(delayed.job, "claimed_elsewhere")
             return
-        if delayed.hear_claimed(view.stream, message.over) and self._knows_agents:
+        if delayed.handle_claimed(view.stream, message.over) and self._knows_agents:
             self._start_now(delayed)
 
     @property
@@ -484,20 +484,20 @@
             start_at = self._takings.find_lapse(owner, self._now)
         reason = "owner_gone" if link is None else "asked"
         self._note_delay(name, reason, start_at)
-        self._delayed[name] = Delayed(job, self._now, start_at)
+        self._delayed[name] = DelayedJob(job, self._now, start_at)
 
     def hear_yielded(self, link: Link, message: Yielded) -> None:
         """Another entry has stopped a job."""
         name = message.job
         self._yields.answer_relayed(name)
         delayed = self._delayed.get(name)
-        awaited = delayed is not None and not delayed.claiming
+        awaited = delayed is not None and not delayed.claim_sent
         if awaited or self._takings.find(name) == link.hello.incarnation:
             self._takings.forget(name)
         if delayed is not None and awaited:
             self._acquire_next(delayed)
 
-    def _acquire_next(self, delayed: Delayed) -> None:
+    def _acquire_next(self, delayed: DelayedJob) -> None:
         del self._delayed[delayed.job.spec.job]
         if not delayed.abandoned:
             self.submit_contested(delayed.job)
@@ -510,7 +510,7 @@
         job.ran = True
         self.submit(job)
 
-    def _start_now(self, delayed: Delayed) -> None:
+    def _start_now(self, delayed: DelayedJob) -> None:
         del self._delayed[delayed.job.spec.job]
         if not delayed.abandoned:
             self._take(delayed.job)
@@ -521,7 +521,7 @@
         for name, delayed in list(self._delayed.items()):
             if delayed.start_at > self._now:
                 continue
-            if delayed.claiming:
+            if delayed.claim_sent:
                 if self._is_claimed(delayed):
                     self._start_now(delayed)
                 continue
@@ -542,7 +542,7 @@
             self._takings.forget(name)
             self._acquire_next(delayed)
 
-    def _is_claimed(self, delayed: Delayed) -> bool:
+    def _is_claimed(self, delayed: DelayedJob) -> bool:
         views = self._dispatcher.fleet.views
         links = {stream: view.link for stream, view in views.items()}
         return delayed.may_start(links, self._now, not self._takings.confirmed)
@@ -606,7 +606,7 @@
     def _list_taken(self) -> list[Job]:
         """List the jobs that may have runs here; others wait until they may start."""
         taken = [*self._dispatcher.jobs.values()]
-        taken += [each.job for each in self._delayed.values() if each.claiming]
+        taken += [each.job for each in self._delayed.values() if each.claim_sent]
         return taken
 
     def hear_took(self, link: Link, message: Took) -> None:
@@ -646,7 +646,7 @@
     def _ask_earlier(self, name: str, age: float, owner: str) -> None:
         """Ask an entry that had a job before this one, which claims it unknowing."""
         delayed = self._delayed.get(name)
-        if delayed is None or delayed.abandoned or not delayed.claiming:
+        if delayed is None or delayed.abandoned or not delayed.claim_sent:
             return
         if self._now - delayed.job.arrival < age:
             del self._delayed[name]
--- a/src/godwitbank/_internal/core/runs/homes.py
+++ b/src/godwitbank/_internal/core/runs/homes.py
@@ -15,7 +15,7 @@
 
 from godwitbank._internal.core.events import Send
 from godwitbank._internal.core.runs.events import RunAction
-from godwitbank._internal.core.runs.links import SILENCE, Links
+from godwitbank._internal.core.runs.links import BUSY_TIMEOUT_SECONDS, Links
 from godwitbank._internal.core.runs.ownership import Takings
 from godwitbank._internal.core.runs.whereabouts import Whereabouts
 from godwitbank._internal.models.run_messages import Acquire, Acquired, Release
@@ -118,7 +118,7 @@
         if grant is None or grant.owner != owner:
             return
         exact = grant.number == number or not grant.number
-        if exact or (not number and now - grant.at > SILENCE):
+        if exact or (not number and now - grant.at > BUSY_TIMEOUT_SECONDS):
             del self._grants[job]
 
     def list_by_owner(self) -> dict[str, dict[str, float]]:
--- a/src/godwitbank/_internal/core/runs/intake.py
+++ b/src/godwitbank/_internal/core/runs/intake.py
@@ -8,11 +8,11 @@
 from godwitbank._internal.core.runs.adoption import Adoption
 from godwitbank._internal.core.runs.dispatcher import Dispatcher
 from godwitbank._internal.core.runs.events import (
-    Answer,
-    CallerGone,
+    AnswerCaller,
+    CallerDisconnected,
     JobCancelled,
     JobSubmitted,
-    Note,
+    LogDecision,
     RunAction,
 )
 from godwitbank._internal.core.runs.forwarding import Forwarding
@@ -55,7 +55,7 @@
         """Prepare for one event."""
         self._now = now
         self._out = out
-        self._forwarding.begin(now, out)
+        self._forwarding.begin_event(now, out)
 
     @property
     def busy(self) -> bool:
@@ -87,7 +87,7 @@
             # works for callers that have left.
             self._refuse(event, "no_processor")
             return
-        job = Job(spec, queue, event.caller, self._now, event.patience)
+        job = Job(spec, queue, event.caller, self._now, event.timeout_seconds)
         if acquired:
             self._handover.start(job)
         else:
@@ -102,9 +102,9 @@
         if known is None:
             return False
         self._counts.add("jobs_joined")
-        self._out(Note("job_joined", name, {}))
+        self._out(LogDecision("job_joined", name, {}))
         known.callers.append(event.caller)
-        known.deadline = max(known.deadline, self._now + event.patience)
+        known.deadline = max(known.deadline, self._now + event.timeout_seconds)
         return True
 
     def _find_known(self, name: str) -> Job | None:
@@ -117,13 +117,13 @@
         self._counts.add("jobs_refused", reason)
         job = event.spec.job
         lag = round(self._pressure.lag, 3)
-        self._out(Note("job_refused", job, {"reason": reason, "lag": lag}))
+        self._out(LogDecision("job_refused", job, {"reason": reason, "lag": lag}))
         result = JobResult(job, JobEnd.REFUSED, reason, False, COME_BACK)
-        self._out(Answer(event.caller, result))
+        self._out(AnswerCaller(event.caller, result))
 
-    def lose_caller(self, event: CallerGone) -> None:
+    def lose_caller(self, event: CallerDisconnected) -> None:
         """Give up what only a caller who is gone waits for."""
-        self._forwarding.lose_caller(event.caller)
+        self._forwarding.handle_caller_loss(event.caller)
         self._handover.lose_caller(event.caller)
         for job in list(self._dispatcher.jobs.values()):
             if event.caller not in job.callers:
@@ -159,7 +159,7 @@
     def hear_yielded(self, link: Link, message: Yielded) -> None:
         """Go on with a job that another entry doesn't have, or no longer."""
         self._handover.hear_yielded(link, message)
-        self._forwarding.hear_yielded(link.stream, message.job)
+        self._forwarding.handle_yielded(link.stream, message.job)
 
     def hear_withdraw(self, link: Link, message: Withdraw) -> None:
         """Give up a job that another entry's caller no longer waits for."""
@@ -168,7 +168,7 @@
 
     def drop_stream(self, stream: int) -> None:
         """Note that a stream to another entry ended, in both roles."""
-        self._forwarding.lose_stream(stream)
+        self._forwarding.handle_stream_loss(stream)
         for gone in self._adoption.drop_stream(stream):
             self.lose_caller(gone)
 
--- a/src/godwitbank/_internal/core/runs/links.py
+++ b/src/godwitbank/_internal/core/runs/links.py
@@ -13,61 +13,61 @@
 from godwitbank._internal.models.messages import Hello, Role
 from godwitbank._internal.models.run_messages import Alive, StartRun
 
-PULSE = 0.2
+BUSY_HEARTBEAT_SECONDS = 0.2
 """Seconds between proofs of life on a busy stream; three fit into ``SILENCE``."""
 
-SILENCE = 0.7
+BUSY_TIMEOUT_SECONDS = 0.7
 """Seconds without a frame after which a busy stream counts as dead.
 
 Jobs whose home is lost wait for as long as that takes, and a job of a lost entry starts
 anew only after its runs were stopped.
 """
 
-OVERDUE = 0.4
+OVERDUE_SECONDS = 0.4
 """Seconds without a frame after which a busy stream gets nothing new: its other end is
 slow or gone. What is sent to an agent that is gone is late by the time until its runs
 count as lost, and would be sent until the stream counts as dead otherwise."""
 
-IDLE_PULSE = 1.5
+IDLE_HEARTBEAT_SECONDS = 1.5
 """Seconds between proofs of life on a stream with nothing in flight."""
 
-IDLE_SILENCE = 5.0
+IDLE_TIMEOUT_SECONDS = 5.0
 """Seconds without a frame after which such a stream counts as dead; three proofs of
 life fit in. Until then work may be sent on it, which the silence of a busy stream ends:
 the work is as late as on a stream that died right after it was sent."""
 
-LOOK = 0.1
+BUSY_CHECK_SECONDS = 0.1
 """Seconds between looks for streams to prove; half of ``PULSE``, so that none is proved
 later than 0.3 s after its last frame."""
 
-IDLE_LOOK = 0.35
+IDLE_CHECK_SECONDS = 0.35
 """The same while nothing is in flight; half of ``SILENCE``, so that a process knows
 whether it stood still for that long."""
 
-PEER_PAUSE = 0.012
+PEER_HEARTBEAT_SPACING_SECONDS = 0.012
 """Seconds between proofs of life to two other entries: what an entry spends on them is
 the same however many there are, but for few, which hear every ``PULSE``."""
 
-MAX_PEER_PULSE = 0.4
+MAX_PEER_HEARTBEAT_SECONDS = 0.4
 """The longest pulse to other entries. With it goes what was taken from callers, which
 must be known before the home of those jobs counts as lost."""
 
-FRESH_PULSES = 1.5
+RESPONSIVE_HEARTBEATS = 1.5
 """Pulses between entries within which one that lives is heard."""
 
-PEER_SILENCE_FACTOR = 3.0
+PEER_TIMEOUT_FACTOR = 3.0
 """Multiple of the pulse between entries without a frame that ends a stream, as
 ``SILENCE`` is of ``PULSE``."""
 
-MISSED_PULSE = 0.3
+MISSED_HEARTBEAT_SECONDS = 0.3
 """Seconds without a frame that a busy stream has only if its other end is late or gone:
 a pulse and a look."""
 
-PROBE_SILENCE = 0.4
+PROBE_TIMEOUT_SECONDS = 0.4
 """Seconds without a frame after a probe that end a stream; its other end answers at
 once. Nothing is in flight on it, so little is lost where that was too soon."""
 
-CLOCK_WINDOW = 10.0
+CLOCK_WINDOW_SECONDS = 10.0
 """Seconds after which an estimate of another process's clock is replaced even by a
 worse one: clocks drift by less than a millisecond in it."""
 
@@ -91,16 +91,16 @@
     __slots__ = (
         "stream",
         "hello",
-        "heard_at",
-        "proved_at",
+        "last_received_at",
+        "last_alive_at",
         "sent_at",
         "busy_since",
         "dialled",
         "probed_at",
         "received",
         "leaving",
-        "told_slowness",
-        "told_lag",
+        "announced_slowness",
+        "announced_lag",
         "lag",
         "_lead",
         "_lead_at",
@@ -110,49 +110,55 @@
         self.stream = stream
         self.hello = hello
         self.dialled = dialled
-        self.heard_at = now
-        self.proved_at = math.inf
+        self.last_received_at = now
+        self.last_alive_at = math.inf
         self.sent_at = now
         self.busy_since = math.inf
         self.probed_at = math.inf
         self.received = 0
         self.leaving = False
-        self.told_slowness = 1.0
-        self.told_lag = 0.0
+        self.announced_slowness = 1.0
+        self.announced_lag = 0.0
         self.lag = math.inf
         self._lead = -math.inf
         self._lead_at = now
 
-    def rest(self, now: float) -> bool:
+    def mark_idle(self, now: float) -> bool:
         """Note that nothing is in flight any more.
 
         :return: whether its other end had fallen silent before.
         """
-        missed = self.busy_since < math.inf and now - self.heard_at > MISSED_PULSE
+        missed = (
+            self.busy_since < math.inf
+            and now - self.last_received_at > MISSED_HEARTBEAT_SECONDS
+        )
         self.busy_since = math.inf
         return missed
 
     @property
-    def is_doubted(self) -> bool:
+    def is_probe_pending(self) -> bool:
         """Whether its other end was probed and has not been heard since."""
         return self.probed_at < math.inf
 
     def is_overdue(self, now: float) -> bool:
         """Tell whether a frame should have come by now, though it isn't dead yet."""
-        return self.is_doubted or now - max(self.heard_at, self.busy_since) > OVERDUE
+        return (
+            self.is_probe_pending
+            or now - max(self.last_received_at, self.busy_since) > OVERDUE_SECONDS
+        )
 
-    def hear_clock(self, clock: float, now: float) -> None:
+    def update_clock(self, clock: float, now: float) -> None:
         """Note the other process's clock, told in a message.
 
         The message took some time, so its clock is later than told. The least delayed
         message tells it best.
         """
         lead = clock - now
-        if lead >= self._lead or now - self._lead_at > CLOCK_WINDOW:
+        if lead >= self._lead or now - self._lead_at > CLOCK_WINDOW_SECONDS:
             self._lead = lead
             self._lead_at = now
 
-    def read_clock(self, now: float) -> float:
+    def estimate_clock(self, now: float) -> float:
         """Tell what the other's clock shows at least; minus infinity at first."""
         return now + self._lead
 
@@ -170,16 +176,16 @@
         self._by_stream: dict[int, Link] = {}
         self._by_incarnation: dict[str, list[Link]] = {}
         self._peer_pulse_at = now if self._is_entry else math.inf
-        self.look_at = now
+        self.next_check_at = now
 
-    def begin(self, now: float) -> bool:
+    def begin_event(self, now: float) -> bool:
         """Begin to handle an event.
 
         :return: whether all streams must be given up, as this process has stood still
             for longer than others wait for it. What then lies in its sockets is old,
             and other entries may have taken over what it was at.
         """
-        stood_still = now - self._turn_at > SILENCE
+        stood_still = now - self._turn_at > BUSY_TIMEOUT_SECONDS
         self._turn_at = now
         return stood_still
 
@@ -194,7 +200,9 @@
             if links[-1].hello.role == Role.ENTRY
         ]
 
-    def open(self, stream: int, hello: Hello, dialled: str, now: float) -> Link | None:
+    def add_stream(
+        self, stream: int, hello: Hello, dialled: str, now: float
+    ) -> Link | None:
         """Note a new stream.
 
         :return: ``None`` if it leads back to this very process.
@@ -205,27 +213,27 @@
             return None
         link = self._by_stream[stream] = Link(stream, hello, dialled, now)
         if not self._is_entry:
-            link.proved_at = -math.inf
+            link.last_alive_at = -math.inf
         self._by_incarnation.setdefault(hello.incarnation, []).append(link)
         if hello.role == Role.ENTRY:
-            self.addresses.open(hello.address, dialled, now)
+            self.addresses.add_stream(hello.address, dialled, now)
         return link
 
-    def close(self, stream: int, address: str, now: float) -> Link | None:
+    def remove_stream(self, stream: int, address: str, now: float) -> Link | None:
         """Note that a stream ended, or that an address could not be dialled."""
         link = self._by_stream.pop(stream, None)
         if link is None:
-            self.addresses.close("", address, now)
+            self.addresses.remove_stream("", address, now)
             return None
         same = self._by_incarnation[link.hello.incarnation]
         same.remove(link)
         if not same:
             del self._by_incarnation[link.hello.incarnation]
         if link.hello.role == Role.ENTRY:
-            self.addresses.close(link.hello.address, link.dialled, now)
+            self.addresses.remove_stream(link.hello.address, link.dialled, now)
         return link
 
-    def hear(self, stream: int, now: float) -> Link | None:
+    def record_frame(self, stream: int, now: float) -> Link | None:
         """Note that a frame arrived; ``None`` if the stream must not be used.
 
         Frames that a cut held up must not be acted on: their sender has given up on
@@ -234,7 +242,7 @@
         link = self._by_stream.get(stream)
         if link is None or self._is_silent(link, now):
             return None
-        link.heard_at = now
+        link.last_received_at = now
         link.probed_at = math.inf
         return link
 
@@ -242,37 +250,48 @@
         return self._is_entry and link.hello.role == Role.ENTRY
 
     @property
-    def peer_pulse(self) -> float:
+    def peer_heartbeat_seconds(self) -> float:
         """Seconds between proofs of life to other entries."""
-        return min(MAX_PEER_PULSE, max(PULSE, PEER_PAUSE * self.addresses.count))
-
-    def is_fresh(self, link: Link, now: float) -> bool:
+        return min(
+            MAX_PEER_HEARTBEAT_SECONDS,
+            max(
+                BUSY_HEARTBEAT_SECONDS,
+                PEER_HEARTBEAT_SPACING_SECONDS * self.addresses.count,
+            ),
+        )
+
+    def is_responsive(self, link: Link, now: float) -> bool:
         """Tell whether another entry was heard as lately as one that lives is."""
-        return now - link.heard_at <= FRESH_PULSES * self.peer_pulse
+        return (
+            now - link.last_received_at
+            <= RESPONSIVE_HEARTBEATS * self.peer_heartbeat_seconds
+        )
 
     def _is_silent(self, link: Link, now: float) -> bool:
-        heard_at = link.heard_at
+        heard_at = link.last_received_at
         if self._is_peer(link):
-            limit = max(SILENCE, PEER_SILENCE_FACTOR * self.peer_pulse)
+            limit = max(
+                BUSY_TIMEOUT_SECONDS, PEER_TIMEOUT_FACTOR * self.peer_heartbeat_seconds
+            )
             return now - heard_at > limit
-        if now - link.probed_at > PROBE_SILENCE:
+        if now - link.probed_at > PROBE_TIMEOUT_SECONDS:
             return True
         if link.busy_since < math.inf:
             # Until work was sent nothing had to be heard.
-            lived_at = min(heard_at, link.proved_at)
-            return now - max(lived_at, link.busy_since) > SILENCE
-        return now - heard_at > IDLE_SILENCE
+            lived_at = min(heard_at, link.last_alive_at)
+            return now - max(lived_at, link.busy_since) > BUSY_TIMEOUT_SECONDS
+        return now - heard_at > IDLE_TIMEOUT_SECONDS
 
-    def list_silent(self, now: float) -> list[Link]:
+    def list_timed_out(self, now: float) -> list[Link]:
         """List the streams on which nothing came for too long."""
         return [link for link in self._by_stream.values() if self._is_silent(link, now)]
 
-    def doubts(self, stream: int) -> bool:
+    def has_pending_probe(self, stream: int) -> bool:
         """Tell whether a stream was probed and not heard since."""
         link = self._by_stream.get(stream)
-        return link is not None and link.is_doubted
+        return link is not None and link.is_probe_pending
 
-    def probe(self, now: float) -> list[Link]:
+    def start_probes(self, now: float) -> list[Link]:
         """List idle streams to probe after one has fallen silent.
 
         What silenced one may have silenced all. With nothing in flight that shows
@@ -283,8 +302,8 @@
             for link in self._by_stream.values()
             if not self._is_peer(link)
             and link.busy_since == math.inf
-            and not link.is_doubted
-            and now - link.heard_at > MISSED_PULSE
+            and not link.is_probe_pending
+            and now - link.last_received_at > MISSED_HEARTBEAT_SECONDS
         ]
         for link in probed:
             link.probed_at = now
@@ -299,7 +318,7 @@
         same = self._by_incarnation.get(incarnation)
         return same[-1] if same else None
 
-    def note_sent(self, actions: Iterable[object], now: float) -> None:
+    def record_sent(self, actions: Iterable[object], now: float) -> None:
         """Note which streams carry a frame now that proves life as well as a pulse."""
         for action in actions:
             if isinstance(action, Send):
@@ -313,28 +332,32 @@
         to_agent = self._is_entry and link.hello.role == Role.AGENT
         return not to_agent or isinstance(action.message, (Alive, StartRun))
 
-    def list_unproved(self, now: float) -> list[Link]:
+    def list_due_heartbeats(self, now: float) -> list[Link]:
         """List the streams on which a proof of life is due, once in ``LOOK``."""
-        if now < self.look_at:
+        if now < self.next_check_at:
             return []
         busy = any(each.busy_since < math.inf for each in self._by_stream.values())
-        self.look_at = now + (LOOK if busy else IDLE_LOOK)
+        self.next_check_at = now + (BUSY_CHECK_SECONDS if busy else IDLE_CHECK_SECONDS)
         return [
             link
             for link in self._by_stream.values()
             if not self._is_peer(link)
             and now - link.sent_at
-            >= (PULSE if link.busy_since < math.inf else IDLE_PULSE)
+            >= (
+                BUSY_HEARTBEAT_SECONDS
+                if link.busy_since < math.inf
+                else IDLE_HEARTBEAT_SECONDS
+            )
         ]
 
-    def list_unproved_peers(self, now: float) -> list[Link]:
+    def list_due_peer_heartbeats(self, now: float) -> list[Link]:
         """List the streams to other entries, once in ``peer_pulse``."""
         if now < self._peer_pulse_at:
             return []
-        self._peer_pulse_at = now + self.peer_pulse
+        self._peer_pulse_at = now + self.peer_heartbeat_seconds
         return [link for link in self._by_stream.values() if self._is_peer(link)]
 
     def next_wakeup(self) -> float:
         """Tell when something here is due."""
-        looks = min(self.look_at, self._peer_pulse_at)
+        looks = min(self.next_check_at, self._peer_pulse_at)
         return min(looks, self.addresses.next_wakeup())
--- a/src/godwitbank/_internal/core/runs/runner.py
+++ b/src/godwitbank/_internal/core/runs/runner.py
@@ -13,9 +13,9 @@
 from godwitbank._internal.core.runs.deployment import MAX_LEASE
 from godwitbank._internal.core.runs.endpoint import Endpoint, Unknown
 from godwitbank._internal.core.runs.events import (
-    Held,
-    HoldFailed,
-    Note,
+    LogDecision,
+    RenewalAnswered,
+    RenewalFailed,
     RunAction,
     StartAnswered,
 )
@@ -113,7 +113,7 @@
 
     def prove_life(self, link: Link, at: float) -> None:
         """Note that an entry lived at a moment, on the clock of this agent."""
-        link.proved_at = max(link.proved_at, at)
+        link.last_alive_at = max(link.last_alive_at, at)
         self._lives.prove(link.hello.incarnation, at)
 
     def forget_lives(self) -> None:
@@ -132,7 +132,7 @@
         ]
 
     def _note(self, event: str, request: str = "", **fields: object) -> None:
-        self._out.append(Note(event, request, fields))
+        self._out.append(LogDecision(event, request, fields))
 
     def _send(self, stream: int, message: Message) -> None:
         self._out.append(Send(stream, message))
@@ -305,7 +305,7 @@
             self._endpoint.raise_token(self._now)
         self._note("start_unanswered", held.order.task, run=held.order.run)
 
-    def hear_hold(self, event: Held) -> None:
+    def hear_hold(self, event: RenewalAnswered) -> None:
         """Take what the endpoint lists."""
         renewal = self._endpoint.take_renewal(event.renewal)
         if renewal is None or event.instance not in ("", self._endpoint.instance):
@@ -409,7 +409,7 @@
         else:
             self._send(link.stream, outcome)
 
-    def hear_hold_failed(self, event: HoldFailed) -> None:
+    def hear_hold_failed(self, event: RenewalFailed) -> None:
         """Act on a renewal that was refused or not answered."""
         renewal = self._endpoint.take_renewal(event.renewal)
         if renewal is None:
--- a/src/godwitbank/_internal/core/runs/tellings.py
+++ b/src/godwitbank/_internal/core/runs/tellings.py
@@ -75,6 +75,6 @@
         """
         for owner, taken in takings.list_by_owner().items():
             link = self._links.find(owner)
-            if link is None or not self._links.is_fresh(link, now):
+            if link is None or not self._links.is_responsive(link, now):
                 ages = [now - taking.at for taking in taken.values()]
                 self._out(Send(stream, Took(list(taken), ages, owner)))
--- a/src/godwitbank/_internal/core/runs/whereabouts.py
+++ b/src/godwitbank/_internal/core/runs/whereabouts.py
@@ -4,8 +4,8 @@
 from random import Random
 
 from godwitbank._internal.core.events import Send
-from godwitbank._internal.core.runs.events import Note, RunAction
-from godwitbank._internal.core.runs.links import SILENCE, Link, Links
+from godwitbank._internal.core.runs.events import LogDecision, RunAction
+from godwitbank._internal.core.runs.links import BUSY_TIMEOUT_SECONDS, Link, Links
 from godwitbank._internal.core.runs.ownership import Takings
 from godwitbank._internal.core.runs.witnesses import Testimony, Witnesses
 from godwitbank._internal.models.messages import Message
@@ -68,7 +68,9 @@
             if spoke_for:
                 self._ask_again(address)
         if gone or message.reachable:
-            self._out(Note("peer_located", "", {"address": address, "gone": gone}))
+            self._out(
+                LogDecision("peer_located", "", {"address": address, "gone": gone})
+            )
         if gone:
             self._takings.confirm(owner)
 
@@ -143,11 +145,11 @@
         """
         self._testimony.ask(message.address, link.stream, self._now)
         heard_at = [
-            each.heard_at
+            each.last_received_at
             for each in self._links.list_peers()
             if each.hello.address == message.address
         ]
-        if not heard_at or self._now - heard_at[0] > SILENCE:
+        if not heard_at or self._now - heard_at[0] > BUSY_TIMEOUT_SECONDS:
             age = self._measure_age(message.address, heard_at)
             self._send(link.stream, Located(message.address, False, "", age))
 
--- a/src/godwitbank/_internal/operations/run_agent.py
+++ b/src/godwitbank/_internal/operations/run_agent.py
@@ -13,18 +13,18 @@
 from godwitbank._internal.core.runs.deployment import USUAL, Deployment
 from godwitbank._internal.core.runs.events import (
     AddressesRead,
-    Held,
-    HoldFailed,
-    KeepReport,
-    Lagged,
-    Note,
-    Quiet,
-    Renew,
-    ReportRecalled,
+    LagMeasured,
+    LogDecision,
+    OrderStart,
+    OrderStop,
+    RenewalAnswered,
+    RenewalFailed,
+    RenewLease,
     RunAction,
-    Start,
+    ShutdownComplete,
     StartAnswered,
-    Stop,
+    StoredReportRead,
+    StoreReport,
 )
 from godwitbank._internal.models.jobs import EndpointReport
 from godwitbank._internal.models.messages import Message, Role
@@ -49,13 +49,13 @@
 class Orders(Protocol):
     """Calls to the endpoint beside the agent."""
 
-    async def start(self, order: Start) -> StartAnswered:
+    async def start(self, order: OrderStart) -> StartAnswered:
         """Order a start."""
 
-    async def stop(self, order: Stop) -> None:
+    async def stop(self, order: OrderStop) -> None:
         """Order a stop; whether it was heard shows in the next renewal."""
 
-    async def renew(self, order: Renew) -> Held | HoldFailed:
+    async def renew(self, order: RenewLease) -> RenewalAnswered | RenewalFailed:
         """Renew the lease and fetch the lists."""
 
     async def close(self) -> None:
@@ -123,29 +123,29 @@
 
     def _hear_lag(self, seconds: float) -> None:
         self.exporter.record("loop_lag", seconds)
-        self._inbox.put(Lagged(seconds))
+        self._inbox.put(LagMeasured(seconds))
 
     def _perform(self, actions: list[RunAction]) -> None:
         writes: dict[int, list[Message]] = {}
         for action in actions:
             if isinstance(action, Send):
                 writes.setdefault(action.stream, []).append(action.message)
-            elif isinstance(action, Note):
+            elif isinstance(action, LogDecision):
                 self._log.write(action.event, action.request, action.fields)
-            elif isinstance(action, Start):
+            elif isinstance(action, OrderStart):
                 self._spawn(self._start(action))
-            elif isinstance(action, Renew):
+            elif isinstance(action, RenewLease):
                 self._spawn(self._renew(action))
-            elif isinstance(action, Stop):
+            elif isinstance(action, OrderStop):
                 self._spawn(self._orders.stop(action))
-            elif isinstance(action, KeepReport):
+            elif isinstance(action, StoreReport):
                 self._spawn(self._keeper.keep_report(action.report))
             elif isinstance(action, CloseStream):
                 self.streams.write(action.stream, writes.pop(action.stream, []))
                 self.streams.close(action.stream, action.reason == "silence")
             elif isinstance(action, Dial):
                 self.streams.dial(action.address)
-            elif isinstance(action, Quiet):
+            elif isinstance(action, ShutdownComplete):
                 self._quiet.set()
         for stream, messages in writes.items():
             self.streams.write(stream, messages)
@@ -155,19 +155,19 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _start(self, order: Start) -> None:
+    async def _start(self, order: OrderStart) -> None:
         began = read_boot_time()
         answer = await self._orders.start(order)
         self.exporter.record("start_order", read_boot_time() - began)
         self._inbox.put(answer)
 
-    async def _renew(self, order: Renew) -> None:
+    async def _renew(self, order: RenewLease) -> None:
         self._inbox.put(await self._orders.renew(order))
 
     async def _recall(self) -> None:
         report = await self._keeper.recall_report()
         if report is not None:
-            self._inbox.put(ReportRecalled(report))
+            self._inbox.put(StoredReportRead(report))
 
     async def run(self) -> None:
         """Serve until SIGTERM or SIGINT; then let running tasks finish."""
--- a/src/godwitbank/_internal/operations/run_entry.py
+++ b/src/godwitbank/_internal/operations/run_entry.py
@@ -13,16 +13,16 @@
 from godwitbank._internal.core.runs.entry import RunEntryCore
 from godwitbank._internal.core.runs.events import (
     AddressesRead,
-    Answer,
-    CallerGone,
+    AnswerCaller,
+    CallerDisconnected,
     ConfigurationRead,
     EvacuationRead,
     JobCancelled,
     JobSubmitted,
-    Lagged,
-    Note,
-    Quiet,
+    LagMeasured,
+    LogDecision,
     RunAction,
+    ShutdownComplete,
 )
 from godwitbank._internal.models.jobs import (
     Configuration,
@@ -90,7 +90,7 @@
             self.exporter.record(f"job_{result.end}", read_boot_time() - began)
             return result
         except asyncio.CancelledError:
-            self._inbox.put(CallerGone(caller))
+            self._inbox.put(CallerDisconnected(caller))
             self.exporter.record("caller_gone", read_boot_time() - began)
             raise
         finally:
@@ -129,7 +129,7 @@
 
     def _hear_lag(self, seconds: float) -> None:
         self.exporter.record("loop_lag", seconds)
-        self._inbox.put(Lagged(seconds))
+        self._inbox.put(LagMeasured(seconds))
 
     # Actions
 
@@ -138,21 +138,21 @@
         for action in actions:
             if isinstance(action, Send):
                 writes.setdefault(action.stream, []).append(action.message)
-            elif isinstance(action, Note):
+            elif isinstance(action, LogDecision):
                 self._log.write(action.event, action.request, action.fields)
-            elif isinstance(action, Answer):
+            elif isinstance(action, AnswerCaller):
                 self._answer(action)
             elif isinstance(action, CloseStream):
                 self.streams.write(action.stream, writes.pop(action.stream, []))
                 self.streams.close(action.stream, action.reason == "silence")
             elif isinstance(action, Dial):
                 self.streams.dial(action.address)
-            elif isinstance(action, Quiet):
+            elif isinstance(action, ShutdownComplete):
                 self._quiet.set()
         for stream, messages in writes.items():
             self.streams.write(stream, messages)
 
-    def _answer(self, action: Answer) -> None:
+    def _answer(self, action: AnswerCaller) -> None:
         future = self._callers.get(action.caller)
         if future is not None and not future.done():
             future.set_result(action.result)
--- a/src/godwitbank/_internal/platform/callers.py
+++ b/src/godwitbank/_internal/platform/callers.py
@@ -49,7 +49,7 @@
     async def shed_or_serve(scope: Scope, receive: Receive, send: Send) -> None:
         if scope["type"] != "http":
             return
-        if process.core.sheds and scope["method"] == "POST":
+        if process.core.sheds_load and scope["method"] == "POST":
             response = _shed(process, str(scope["path"]))
         else:
             response = await _serve(process, Request(scope, receive))
--- a/src/godwitbank/_internal/platform/endpoint.py
+++ b/src/godwitbank/_internal/platform/endpoint.py
@@ -5,12 +5,12 @@
 import msgspec
 
 from godwitbank._internal.core.runs.events import (
-    Held,
-    HoldFailed,
-    Renew,
-    Start,
+    OrderStart,
+    OrderStop,
+    RenewalAnswered,
+    RenewalFailed,
+    RenewLease,
     StartAnswered,
-    Stop,
 )
 from godwitbank._internal.core.runs.verdicts import HoldVerdict, StartVerdict
 from godwitbank._internal.network.http_client import (
@@ -54,7 +54,7 @@
     def __init__(self, address: str) -> None:
         self._client = HttpClient(address, MAX_CONNECTIONS)
 
-    async def start(self, order: Start) -> StartAnswered:
+    async def start(self, order: OrderStart) -> StartAnswered:
         """Order a start."""
         body: dict[str, Any] = {
             "task": order.task,
@@ -67,7 +67,7 @@
             body["last-checkpoint"] = order.checkpoint
         try:
             response = await self._post(
-                "/-/run-start", body, order.instance, order.patience
+                "/-/run-start", body, order.instance, order.timeout_seconds
             )
         except UnreachableError:
             return self._answer(order, StartVerdict.UNREACHABLE, None)
@@ -77,11 +77,11 @@
         return self._answer(order, _judge(response.status, answer), answer.clock)
 
     def _answer(
-        self, order: Start, verdict: StartVerdict, clock: int | None
+        self, order: OrderStart, verdict: StartVerdict, clock: int | None
     ) -> StartAnswered:
         return StartAnswered(order.task, order.run, verdict, order.token, clock)
 
-    async def stop(self, order: Stop) -> None:
+    async def stop(self, order: OrderStop) -> None:
         """Order a stop; its effect shows in the next lists."""
         body = {"task": order.task, "run": order.run, "fence-token": order.token}
         try:
@@ -90,7 +90,7 @@
             # The core sees the run still listed, and orders again.
             return
 
-    async def renew(self, order: Renew) -> Held | HoldFailed:
+    async def renew(self, order: RenewLease) -> RenewalAnswered | RenewalFailed:
         """Renew the lease, wait for an end, and fetch the lists."""
         body: dict[str, Any] = {
             "fence-token": order.token,
@@ -99,21 +99,23 @@
         }
         if order.lease_until is not None:
             body["deadline-ms"] = order.lease_until
-        seconds = order.wait / 1000 + order.patience
+        seconds = order.wait / 1000 + order.timeout_seconds
         try:
             response = await self._post("/-/hold", body, order.instance, seconds)
             if response.status == 200:
                 clock, running, ended = decode_lists(response.content)
-                return Held(order.renewal, running, ended, clock, order.instance)
+                return RenewalAnswered(
+                    order.renewal, running, ended, clock, order.instance
+                )
         except (UnreachableError, NoAnswerError, msgspec.DecodeError):
-            return HoldFailed(order.renewal, HoldVerdict.NO_ANSWER, None)
+            return RenewalFailed(order.renewal, HoldVerdict.NO_ANSWER, None)
         answer = decode_order_answer(response.content)
         verdict = HoldVerdict.REFUSED
         if response.status == 421:
             verdict = HoldVerdict.OTHER_INSTANCE
         elif answer.reason == "fence":
             verdict = HoldVerdict.FENCED
-        return HoldFailed(order.renewal, verdict, answer.clock)
+        return RenewalFailed(order.renewal, verdict, answer.clock)
 
     async def _post(
         self, path: str, body: dict[str, Any], instance: str, seconds: float
--- a/src/godwitbank/_internal/platform/reports.py
+++ b/src/godwitbank/_internal/platform/reports.py
@@ -7,7 +7,7 @@
 from starlette.responses import Response
 from starlette.types import ASGIApp, Receive, Scope, Send
 
-from godwitbank._internal.core.runs.events import Departed, Reported
+from godwitbank._internal.core.runs.events import EndpointExiting, ReportReceived
 from godwitbank._internal.platform.bodies import decode_report
 
 if TYPE_CHECKING:
@@ -32,12 +32,12 @@
     if not instance or "/" in instance:
         return _respond({"error": "no such path"}, 404)
     if request.method == "DELETE":
-        process.put(Departed(instance))
+        process.put(EndpointExiting(instance))
         return _respond({})
     if request.method != "PUT":
         return _respond({"error": "method not allowed"}, 405)
     try:
-        event = Reported(decode_report(instance, await request.body()))
+        event = ReportReceived(decode_report(instance, await request.body()))
     except ClientDisconnect:
         return _respond({}, 499)
     except msgspec.DecodeError as error:
--- a/standins/leased_endpoint.py
+++ b/standins/leased_endpoint.py
@@ -7,12 +7,12 @@
 from typing import NamedTuple
 
 from godwitbank._internal.core.runs.events import (
-    Held,
-    HoldFailed,
-    Renew,
-    Start,
+    OrderStart,
+    OrderStop,
+    RenewalAnswered,
+    RenewalFailed,
+    RenewLease,
     StartAnswered,
-    Stop,
 )
 from godwitbank._internal.core.runs.verdicts import HoldVerdict, StartVerdict
 from godwitbank._internal.models.jobs import (
@@ -145,7 +145,7 @@
             longest = self.clock(now) + int(self._longest_lease * 1000)
             self.lease_until = max(self.lease_until, min(until, longest))
 
-    def start(self, order: Start, now: float, seconds: float) -> StartAnswered:
+    def start(self, order: OrderStart, now: float, seconds: float) -> StartAnswered:
         """Take an order to start."""
         self.advance(now)
 
@@ -176,7 +176,7 @@
         self.started.append((now, order.task, order.run))
         return answer(StartVerdict.STARTED)
 
-    def stop(self, order: Stop, now: float) -> None:
+    def stop(self, order: OrderStop, now: float) -> None:
         """Take an order to stop."""
         self.advance(now)
         if order.instance != self.instance or order.token < self.token:
@@ -187,20 +187,20 @@
             run.stop_at = now + STOP_GRACE
         self.highest[order.task] = max(self.highest.get(order.task, 0), order.run)
 
-    def hold(self, order: Renew, now: float) -> Held | HoldFailed:
+    def hold(self, order: RenewLease, now: float) -> RenewalAnswered | RenewalFailed:
         """Take a lease renewal and answer with the lists."""
         self.advance(now)
         clock = self.clock(now)
         if order.instance != self.instance:
-            return HoldFailed(order.renewal, HoldVerdict.OTHER_INSTANCE, clock)
+            return RenewalFailed(order.renewal, HoldVerdict.OTHER_INSTANCE, clock)
         if order.token < self.token:
-            return HoldFailed(order.renewal, HoldVerdict.FENCED, clock)
+            return RenewalFailed(order.renewal, HoldVerdict.FENCED, clock)
         self.token = order.token
         self._extend(order.lease_until, now)
         self.ends = [end for end in self.ends if end.number > order.seen]
         return self.list_all(order, now)
 
-    def list_all(self, order: Renew, now: float) -> Held:
+    def list_all(self, order: RenewLease, now: float) -> RenewalAnswered:
         """List what runs and what ended since the last that was seen."""
         self.advance(now)
         running = tuple(
@@ -208,7 +208,9 @@
             for run in self.alive.values()
         )
         ended = tuple(end for end in self.ends if end.number > order.seen)
-        return Held(order.renewal, running, ended, self.clock(now), self.instance)
+        return RenewalAnswered(
+            order.renewal, running, ended, self.clock(now), self.instance
+        )
 
     def _measure(self, run: Alive, now: float) -> int:
         if self.behaviour.hangs:
--- a/standins/platform_endpoint.py
+++ b/standins/platform_endpoint.py
@@ -19,11 +19,11 @@
 from litestar import Litestar, Request, Response, get, post, put
 
 from godwitbank._internal.core.runs.events import (
-    HoldFailed,
-    Renew,
-    Start,
+    OrderStart,
+    OrderStop,
+    RenewalFailed,
+    RenewLease,
     StartAnswered,
-    Stop,
 )
 from godwitbank._internal.core.runs.verdicts import StartVerdict
 from godwitbank._internal.models.resources import Resources
@@ -64,7 +64,7 @@
         """Seconds since this boot."""
         return time.monotonic() - self.began
 
-    def start(self, order: Start, late: bool) -> StartAnswered:
+    def start(self, order: OrderStart, late: bool) -> StartAnswered:
         """Carry out an order to start, and tell of it."""
         before = len(self.fake.started)
         answer = self.fake.start(order, self.now, float(order.payload))
@@ -80,7 +80,7 @@
         self.most_at_once = max(self.most_at_once, len(self.fake.alive))
         return answer
 
-    async def lose_start(self, order: Start) -> None:
+    async def lose_start(self, order: OrderStart) -> None:
         """Leave an order unanswered; perhaps carry it out later."""
         if self.carry_out_after:
             await asyncio.sleep(self.carry_out_after)
@@ -158,7 +158,7 @@
         if is_other(request):
             return Response({}, status_code=421)
         body = await request.json()
-        order = Start(
+        order = OrderStart(
             fake.instance,
             body["task"],
             body["run"],
@@ -186,7 +186,9 @@
             return Response({}, status_code=421)
         body = await request.json()
         token = body["fence-token"]
-        fake.stop(Stop(fake.instance, body["task"], body["run"], token), daemon.now)
+        fake.stop(
+            OrderStop(fake.instance, body["task"], body["run"], token), daemon.now
+        )
         return Response({"clock-ms": fake.clock(daemon.now)})
 
     @post("/-/hold", status_code=200)
@@ -195,7 +197,7 @@
             return Response({}, status_code=421)
         body = await request.json()
         wait = body.get("wait-ms", 0)
-        order = Renew(
+        order = RenewLease(
             0,
             fake.instance,
             body.get("deadline-ms"),
@@ -206,14 +208,14 @@
         )
         answer = fake.hold(order, daemon.now)
         until = daemon.now + wait / 1000
-        while not isinstance(answer, HoldFailed):
+        while not isinstance(answer, RenewalFailed):
             answer = fake.list_all(order, daemon.now)
             if answer.ended or daemon.now >= until:
                 break
             await asyncio.sleep(POLL_SECONDS)
         # Killed after the answer, the endpoint would leave no trace of what it told.
         daemon.tell_ends()
-        if isinstance(answer, HoldFailed):
+        if isinstance(answer, RenewalFailed):
             clock = answer.clock
             return Response({"clock-ms": clock, "reason": "fence"}, status_code=409)
         return Response(
--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -235,7 +235,7 @@
         f"{LEASED}/runner.py",
         "if self._now - order.sent_at > ORDER_SECONDS:",
         "if False:",
-        f"{RUNS}/test_meeting.py::"
+        f"{RUNS}/test_partial_mesh.py::"
         "test_an_order_older_than_its_entrys_patience_starts_nothing",
     ),
     Break(
@@ -297,7 +297,7 @@
     Break(
         "jobs that wait count as taken",
         f"{LEASED}/handover.py",
-        " if each.claiming]\n",
+        " if each.claim_sent]\n",
         "]\n        taken += self._unsorted.values()\n",
         f"{RUNS}/test_two_entries_exploration.py",
     ),
@@ -313,21 +313,21 @@
         f"{LEASED}/handover.py",
         "            self.whereabouts.ask(link.hello.address, owner)",
         "            pass",
-        f"{RUNS}/test_meeting.py::test_a_job_moves_past_a_cut_between_two_entries",
+        f"{RUNS}/test_partial_mesh.py::test_a_job_moves_past_a_cut_between_two_entries",
     ),
     Break(
         "what a cut-off entry takes isn't passed on",
         f"{LEASED}/whereabouts.py",
         "            self._send(stream, Took(message.jobs, message.ages, owner))",
         "            pass",
-        f"{RUNS}/test_meeting.py::test_a_job_moves_past_a_cut_between_two_entries",
+        f"{RUNS}/test_partial_mesh.py::test_a_job_moves_past_a_cut_between_two_entries",
     ),
     Break(
         "streams move with runs on them",
         f"{LEASED}/moves.py",
         "            idle = link.hello.incarnation not in owners",
         "            idle = True",
-        f"{RUNS}/test_meeting.py::test_a_stream_that_moves_cuts_no_run",
+        f"{RUNS}/test_partial_mesh.py::test_a_stream_that_moves_cuts_no_run",
     ),
     Break(
         "runs out of reach are started elsewhere at once",
@@ -342,7 +342,7 @@
         f"{LEASED}/tellings.py",
         '            self._out(Send(link.stream, Took([name], [0.0], "")))',
         "            pass",
-        f"{RUNS}/test_meeting.py::"
+        f"{RUNS}/test_partial_mesh.py::"
         "test_a_job_whose_home_is_lost_is_known_by_what_its_entry_has_told",
     ),
     Break(
@@ -350,7 +350,7 @@
         f"{LEASED}/handover.py",
         "        self._tellings.tell_all(link.stream, self._list_taken(), self._now)",
         "        pass",
-        f"{RUNS}/test_meeting.py::"
+        f"{RUNS}/test_partial_mesh.py::"
         "test_a_job_whose_home_is_lost_is_known_by_what_its_entry_has_told",
     ),
     Break(
@@ -450,7 +450,7 @@
     Break(
         "late entries keep all jobs",
         f"{LEASED}/forwarding.py",
-        "if self._pressure.lag < FORWARD_LAG:",
+        "if self._pressure.lag < FORWARD_LAG_SECONDS:",
         "if True:",
         f"{RUNS}/test_behind.py::"
         "test_jobs_reach_the_processor_time_that_neighbours_have",
@@ -551,16 +551,16 @@
     Break(
         "agents probe no stream when another falls silent",
         f"{LEASED}/agent.py",
-        "self.links.probe(self._now)",
+        "self.links.start_probes(self._now)",
         "()",
-        f"{RUNS}/test_silence.py",
+        f"{RUNS}/test_silent_streams.py",
     ),
     Break(
         "work is sent on streams in doubt",
         f"{LEASED}/links.py",
-        "return self.is_doubted or now",
-        "return now",
-        f"{RUNS}/test_silence.py",
+        "            self.is_probe_pending\n            or now",
+        "            now",
+        f"{RUNS}/test_silent_streams.py",
     ),
 )
 
--- a/tests/core/runs/test_adoption.py
+++ b/tests/core/runs/test_adoption.py
@@ -2,7 +2,7 @@
 
 from godwitbank._internal.core.events import Send
 from godwitbank._internal.core.runs.adoption import Adoption
-from godwitbank._internal.core.runs.events import Answer
+from godwitbank._internal.core.runs.events import AnswerCaller
 from godwitbank._internal.models.jobs import JobEnd, JobResult, JobSpec, StepSpec
 from godwitbank._internal.models.resources import Resources
 from godwitbank._internal.models.run_messages import Forward, Forwarded
@@ -27,7 +27,7 @@
     received = decode(encode(sent)[LENGTH:])
     assert isinstance(received, Forward)
     event = Adoption().adopt(7, received)
-    assert (event.spec, event.patience) == (SPEC, 1.5)
+    assert (event.spec, event.timeout_seconds) == (SPEC, 1.5)
     assert event.caller < 0
 
 
@@ -36,12 +36,12 @@
     steps = [list(step) for step in SPEC.steps]
     event = adoption.adopt(7, Forward(SPEC.job, SPEC.queue, "", steps, 1.5, False))
     result = JobResult(SPEC.job, JobEnd.FAILED, "attempts", True)
-    own = Answer(1, result)
-    (kept, sent) = adoption.route([own, Answer(event.caller, result)])
+    own = AnswerCaller(1, result)
+    (kept, sent) = adoption.route([own, AnswerCaller(event.caller, result)])
     assert kept is own
     assert isinstance(sent, Send)
     assert (sent.stream, sent.message) == (
         7,
         Forwarded(SPEC.job, "failed", "attempts", True, -1.0),
     )
-    assert adoption.route([Answer(event.caller, result)]) == []
+    assert adoption.route([AnswerCaller(event.caller, result)]) == []
--- a/tests/core/runs/test_behind.py
+++ b/tests/core/runs/test_behind.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from godwitbank._internal.core.runs.events import Lagged
+from godwitbank._internal.core.runs.events import LagMeasured
 from godwitbank._internal.models.resources import Resources
 from tests.lib.runs_processor import BusyProcess, Callers
 from tests.lib.runs_world import RunsWorld, make_job
@@ -143,7 +143,7 @@
     world.run(3.0)
     late = world.processes["agent-0"]
     for _ in range(40):
-        late.give(Lagged(0.25))
+        late.give(LagMeasured(0.25))
         world.run(0.05)
     for number in range(20):
         world.submit("entry-0", make_job(f"job{number}", width=2, seconds=0.15))
--- a/tests/core/runs/test_delays.py
+++ b/tests/core/runs/test_delays.py
@@ -1,6 +1,6 @@
 """Jobs that wait until agents have said that others' runs of them are over."""
 
-from godwitbank._internal.core.runs.delays import Delayed
+from godwitbank._internal.core.runs.delays import DelayedJob
 from godwitbank._internal.core.runs.lease import LAPSE_SECONDS
 from godwitbank._internal.core.runs.links import Link
 from godwitbank._internal.core.runs.work import Job
@@ -17,30 +17,30 @@
     return {stream: Link(stream, hello, "", NOW) for stream in STREAMS}
 
 
-def make_delayed() -> Delayed:
+def make_delayed() -> DelayedJob:
     """Make a job that was claimed at two agents."""
-    delayed = Delayed(Job(make_job("j1"), QUEUE, 1, NOW, 5.0), NOW, NOW)
-    delayed.claim(STREAMS)
+    delayed = DelayedJob(Job(make_job("j1"), QUEUE, 1, NOW, 5.0), NOW, NOW)
+    delayed.record_claim(STREAMS)
     return delayed
 
 
 def test_all_agents_must_have_answered() -> None:
     delayed = make_delayed()
-    assert not delayed.hear_claimed(1, over=True)
-    assert delayed.hear_claimed(2, over=True)
+    assert not delayed.handle_claimed(1, over=True)
+    assert delayed.handle_claimed(2, over=True)
 
 
 def test_an_agent_that_stops_runs_is_waited_for() -> None:
     delayed = make_delayed()
-    delayed.hear_claimed(1, over=False)
-    delayed.hear_claimed(2, over=True)
+    delayed.handle_claimed(1, over=False)
+    delayed.handle_claimed(2, over=True)
     assert not delayed.may_start(make_links(), NOW + 5.0, expects_answers=False)
-    assert delayed.hear_claimed(1, over=True)
+    assert delayed.handle_claimed(1, over=True)
 
 
 def test_the_leases_of_an_agent_that_was_lost_while_it_stopped_runs_end() -> None:
     delayed = make_delayed()
-    delayed.hear_claimed(1, over=False)
+    delayed.handle_claimed(1, over=False)
     links = make_links()
     del links[1]
     assert not delayed.may_start(links, NOW + 0.2, expects_answers=False)
--- a/tests/core/runs/test_evacuation_exploration.py
+++ b/tests/core/runs/test_evacuation_exploration.py
@@ -4,7 +4,13 @@
 
 import pytest
 
-from tests.core.runs.test_exploration import SEEDS, WIDE, Explorer, Size, explore
+from tests.core.runs.test_exploration import (
+    PARTIAL_MESH,
+    SEEDS,
+    Explorer,
+    Size,
+    explore,
+)
 
 ZONES = 3
 SIZE = Size(
@@ -20,10 +26,10 @@
     def __init__(self, seed: int, size: Size = SIZE) -> None:
         super().__init__(seed, size=size, zones=ZONES)
 
-    def list_kinds(self) -> list[Callable[[], None]]:
+    def list_actions(self) -> list[Callable[[], None]]:
         """List what may happen."""
         mine = [self.evacuate, self.evacuate, self.take_back, self.lose_store]
-        return [*super().list_kinds(), *mine * 2]
+        return [*super().list_actions(), *mine * 2]
 
     def _pick_zone(self) -> str:
         return f"zone-{self.rng.randint(1, ZONES)}"
@@ -62,12 +68,12 @@
             self.world.store_away.clear()
         super()._start_entry(name)
 
-    def calm_down(self) -> None:
+    def end_faults(self) -> None:
         """End all faults and evacuations."""
         self._regain_store()
         for zone in list(self.world.evacuated):
             self.world.take_back(zone)
-        super().calm_down()
+        super().end_faults()
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -79,7 +85,7 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_nothing_starts_late_in_an_evacuated_zone_of_a_wide_fleet(seed: int) -> None:
-    explore(EvacuationExplorer(seed, size=WIDE))
+    explore(EvacuationExplorer(seed, size=PARTIAL_MESH))
 
 
 def test_exploration_empties_zones_and_takes_them_back() -> None:
--- a/tests/core/runs/test_exploration.py
+++ b/tests/core/runs/test_exploration.py
@@ -2,7 +2,8 @@
 
 ``RunsWorld`` checks after every step that no task runs twice at the same time
 and that no endpoint is over its capacity. At the end, with all faults over,
-jobs must be served again. A seed that ever failed is kept in ``FOUND``.
+jobs must be served again. A seed that ever failed is kept in one of the
+``REGRESSION_SEEDS`` tuples.
 """
 
 from collections.abc import Callable
@@ -13,10 +14,10 @@
 from standins.leased_endpoint import Behaviour
 
 from godwitbank._internal.core.runs.deployment import USUAL, Deployment
-from godwitbank._internal.core.runs.events import AddressesRead, Lagged
+from godwitbank._internal.core.runs.events import AddressesRead, LagMeasured
 from tests.lib.runs_world import Process, RunsWorld, make_job
 
-FOUND = (
+REGRESSION_SEEDS_IMPATIENT = (
     # An entry started, or reconnected, while a job was in flight elsewhere didn't
     # know of it, and took the job when its caller submitted it again.
     9,
@@ -35,7 +36,7 @@
 )
 """Seeds of the impatient exploration that once failed, with their cause."""
 
-FOUND_PATIENT = (
+REGRESSION_SEEDS = (
     # Within a second: a caller's connection breaks unnoticed, the agent of one of
     # its runs is killed, and its entry is killed and back at once. The new process
     # took the job again while the run lived on under the killed agent's lease.
@@ -53,7 +54,7 @@
 )
 """Seeds of the exploration with patient callers that once failed, with their cause."""
 
-FOUND_WIDE = (
+REGRESSION_SEEDS_PARTIAL_MESH = (
     # An entry loses its power, the one that knew of its job a moment later, and an
     # agent that runs the job is killed just before it notices. The entries left were
     # started afterwards; for them the first one is gone, and the job starts at once.
@@ -63,7 +64,7 @@
 )
 """Seeds of the exploration in a wide fleet that once failed, with their cause."""
 
-FOUND_PRESSED = (
+REGRESSION_SEEDS_LAGGING = (
     # Within half a second an entry wakes up after two seconds, is cut off from one
     # agent, and the entry that took the job meanwhile loses its power. The first one
     # starts the job when the agents that it reaches have answered its claim; it runs on
@@ -73,7 +74,7 @@
 """Seeds of the exploration with entries that are late that once failed."""
 
 SEEDS = range(40)
-HANDED_ON = 10 / 3
+MIN_FORWARDED_PER_SEED = 10 / 3
 """Jobs that a seed of the exploration with late entries hands on at the least."""
 
 ENTRIES = ("entry-0", "entry-1", "entry-2")
@@ -93,14 +94,14 @@
 
 
 SMALL = Size(ENTRIES, AGENTS, 8)
-WIDE = Size(
+PARTIAL_MESH = Size(
     tuple(f"entry-{number}" for number in range(5)),
     tuple(f"agent-{number}" for number in range(12)),
     2,
 )
 """More entries than an agent meets, so that no entry reaches all agents."""
 
-COME_AGAIN_SECONDS = 1.3
+RESUBMIT_SECONDS = 1.3
 """Time after a broken connection at which callers submit again (users' figure).
 
 Submitting earlier, at random, found seeds 18 and 22: a job came again 0.9 s after
@@ -108,7 +109,7 @@
 """
 
 
-class Asked(NamedTuple):
+class SubmittedJob(NamedTuple):
     """A job, the entry its caller came to, and the caller's number there."""
 
     entry: str
@@ -139,7 +140,7 @@
             seed, entries_per_agent=size.entries_per_agent, deployment=deployment
         )
         self.submitted = 0
-        self.asked: list[Asked] = []
+        self.submissions: list[SubmittedJob] = []
         for position, name in enumerate((*self.entries, *self.agents)):
             self.world.zones[name] = f"zone-{1 + position % zones}"
         for name in self.entries:
@@ -159,25 +160,25 @@
 
     def step(self) -> None:
         """Do one random thing and let a little time pass."""
-        self.rng.choice(self.list_kinds())()
+        self.rng.choice(self.list_actions())()
         self.world.run(self.rng.choice((0.01, 0.05, 0.2, 0.5)))
 
-    def list_kinds(self) -> list[Callable[[], None]]:
+    def list_actions(self) -> list[Callable[[], None]]:
         """List what may happen, the more often the likelier."""
         return [self.submit] * 6 + [
-            self.submit_again_anyhow if self.impatient else self.submit_again,
+            self.resubmit_any if self.impatient else self.resubmit,
             self.kill_agent,
             self.kill_entry,
-            self.darken_entry,
-            self.freeze,
+            self.cut_entry_power,
+            self.suspend,
             self.cut,
             self.crash_endpoint,
-            self.make_grey,
-            self.change_loss,
+            self.degrade_endpoint,
+            self.change_call_loss,
             self.stop_entry,
         ]
 
-    def _pick_live(self, names: tuple[str, ...]) -> str | None:
+    def _pick_running(self, names: tuple[str, ...]) -> str | None:
         live = [
             name
             for name in names
@@ -188,7 +189,7 @@
 
     def submit(self) -> None:
         """Submit a new job."""
-        entry = self._pick_live(self.entries)
+        entry = self._pick_running(self.entries)
         if entry is not None:
             self.submitted += 1
             width = self.rng.choice((1, 2, 8, 16))
@@ -196,21 +197,21 @@
             job = make_job(f"j{self.submitted}", width, seconds)
             patience = self.rng.choice((2.0, 5.0))
             caller = self.world.submit(entry, job, patience)
-            self.asked.append(Asked(entry, caller, job.job))
+            self.submissions.append(SubmittedJob(entry, caller, job.job))
 
-    def submit_again_anyhow(self) -> None:
+    def resubmit_any(self) -> None:
         """Submit one of the last jobs again, whatever has become of it."""
         if not self.submitted:
             return
         number = self.rng.randint(max(1, self.submitted - 5), self.submitted)
-        self._come_again(f"j{number}")
+        self._schedule_resubmit(f"j{number}")
 
-    def submit_again(self) -> None:
+    def resubmit(self) -> None:
         """Break a caller's connection; it submits again 1.3 s later, anywhere.
 
         The entry may not notice that the connection broke.
         """
-        name = self._pick_live(self.entries)
+        name = self._pick_running(self.entries)
         if name is None:
             return
         jobs = list(self.world.processes[name].core.dispatcher.jobs.values())
@@ -218,21 +219,21 @@
             job = self.rng.choice(jobs)
             if job.callers and self.rng.random() < 0.5:
                 self.world.hang_up(name, job.callers[0])
-            self._come_again(job.spec.job)
+            self._schedule_resubmit(job.spec.job)
 
-    def _come_again(self, name: str) -> None:
+    def _schedule_resubmit(self, name: str) -> None:
         spec = self.world.specs[name]
 
         def again() -> None:
-            entry = self._pick_live(self.entries)
+            entry = self._pick_running(self.entries)
             if entry is not None:
                 self.world.submit(entry, spec)
 
-        self.world.after(COME_AGAIN_SECONDS, again)
+        self.world.after(RESUBMIT_SECONDS, again)
 
     def kill_agent(self) -> None:
         """Kill an agent and start it again."""
-        name = self._pick_live(self.agents)
+        name = self._pick_running(self.agents)
         if name is not None:
             self.world.kill(name)
             self.world.after(0.7, lambda: self._start_agent(name))
@@ -245,24 +246,24 @@
 
     def kill_entry(self) -> None:
         """Kill an entry and start it again."""
-        name = self._pick_live(self.entries)
+        name = self._pick_running(self.entries)
         if name is not None:
             jobs = list(self.world.processes[name].core.dispatcher.jobs)
             for job in [] if self.impatient else jobs:
-                self._come_again(job)
+                self._schedule_resubmit(job)
             self.world.kill(name)
             self.world.after(0.7, lambda: self._start_entry(name))
 
-    def darken_entry(self) -> None:
+    def cut_entry_power(self) -> None:
         """Take an entry's power and start it again."""
-        name = self._pick_live(self.entries)
+        name = self._pick_running(self.entries)
         if name is not None:
             self.world.darken(name)
             self.world.after(3.0, lambda: self._start_entry(name))
 
     def stop_entry(self) -> None:
         """Stop an entry in an orderly way and start it again."""
-        name = self._pick_live(self.entries)
+        name = self._pick_running(self.entries)
         if name is not None:
             self.world.stop(name)
             self.world.after(6.0, lambda: self._end_and_start(name))
@@ -276,16 +277,16 @@
         if self.world.processes[name].dead:
             self.world.add_entry(name)
 
-    def freeze(self) -> None:
+    def suspend(self) -> None:
         """Suspend a process for a while."""
-        name = self._pick_live(self.entries + self.agents)
+        name = self._pick_running(self.entries + self.agents)
         if name is not None:
             self.world.freeze(name)
             process = self.world.processes[name]
             seconds = self.rng.choice((0.3, 0.9, 2.0, 4.0))
-            self.world.after(seconds, lambda: self._thaw(name, process))
+            self.world.after(seconds, lambda: self._resume(name, process))
 
-    def _thaw(self, name: str, process: object) -> None:
+    def _resume(self, name: str, process: object) -> None:
         if self.world.processes[name] is process:
             self.world.thaw(name)
 
@@ -307,7 +308,7 @@
         if self.world.endpoints[name] is None:
             self.world.boot_endpoint(name)
 
-    def make_grey(self) -> None:
+    def degrade_endpoint(self) -> None:
         """Let an endpoint fail, hang or be slow for a while."""
         endpoint = self.world.endpoints[self.rng.choice(self.agents)]
         if endpoint is None:
@@ -319,16 +320,16 @@
             Behaviour(unhealthy=True),
         )
         endpoint.behaviour = self.rng.choice(kinds)
-        self.world.after(3.0, lambda: self._cure(endpoint))
+        self.world.after(3.0, lambda: self._restore_endpoint(endpoint))
 
-    def _cure(self, endpoint) -> None:
+    def _restore_endpoint(self, endpoint) -> None:
         endpoint.behaviour = Behaviour()
 
-    def change_loss(self) -> None:
+    def change_call_loss(self) -> None:
         """Change the share of calls to endpoints that get no answer."""
         self.loss = self.rng.choice((0.0, 0.0, 0.05, 0.3))
 
-    def calm_down(self) -> None:
+    def end_faults(self) -> None:
         """End all faults."""
         self.loss = 0.0
         self.world.run(8.0)
@@ -351,31 +352,31 @@
         self.world.run(8.0)
 
 
-class PressedExplorer(Explorer):
+class LaggingExplorer(Explorer):
     """Explores entries that are short of processor time now and then.
 
     They hand jobs on to others, which serve them while callers, entries and the streams
     between them come and go.
     """
 
-    def list_kinds(self) -> list[Callable[[], None]]:
+    def list_actions(self) -> list[Callable[[], None]]:
         """List what may happen."""
-        return [*super().list_kinds(), *[self.press] * 5]
+        return [*super().list_actions(), *[self.add_lag] * 5]
 
-    def press(self) -> None:
+    def add_lag(self) -> None:
         """Let an entry be late for a while, so much that it hands on or refuses."""
-        name = self._pick_live(self.entries)
+        name = self._pick_running(self.entries)
         if name is None:
             return
         process = self.world.processes[name]
         lag = self.rng.choice((0.015, 0.02, 0.05, 0.3))
-        process.give(Lagged(lag))
+        process.give(LagMeasured(lag))
         seconds = self.rng.choice((0.2, 1.0, 3.0))
-        self.world.after(seconds, lambda: self._relieve(process))
+        self.world.after(seconds, lambda: self._remove_lag(process))
 
-    def _relieve(self, process: Process) -> None:
+    def _remove_lag(self, process: Process) -> None:
         if not process.frozen:
-            process.give(Lagged(0.0))
+            process.give(LagMeasured(0.0))
 
     def _start_entry(self, name: str) -> None:
         # As the settings and the store name entries, whether they live or not: one that
@@ -383,37 +384,37 @@
         super()._start_entry(name)
         self.world.processes[name].give(AddressesRead(self.entries))
 
-    def _list_waiting(self, entry: str) -> list[Asked]:
+    def _list_waiting(self, entry: str) -> list[SubmittedJob]:
         return [
             asked
-            for asked in self.asked
+            for asked in self.submissions
             if asked.entry == entry and not self.world.results[asked.job]
         ]
 
-    def submit_again(self) -> None:
+    def resubmit(self) -> None:
         """Break the connection of a caller, whoever serves its job."""
-        name = self._pick_live(self.entries)
+        name = self._pick_running(self.entries)
         waiting = self._list_waiting(name) if name else []
         if waiting:
             asked = self.rng.choice(waiting)
             if self.rng.random() < 0.5:
                 self.world.hang_up(asked.entry, asked.caller)
-            self._come_again(asked.job)
+            self._schedule_resubmit(asked.job)
 
     def kill_entry(self) -> None:
         """Kill an entry; its callers come again, also those of jobs handed on."""
-        name = self._pick_live(self.entries)
+        name = self._pick_running(self.entries)
         if name is not None:
             for asked in self._list_waiting(name):
-                self._come_again(asked.job)
+                self._schedule_resubmit(asked.job)
             self.world.kill(name)
             self.world.after(0.7, lambda: self._start_entry(name))
 
-    def calm_down(self) -> None:
+    def end_faults(self) -> None:
         """End all faults."""
-        super().calm_down()
+        super().end_faults()
         for name in self.entries:
-            self._relieve(self.world.processes[name])
+            self._remove_lag(self.world.processes[name])
         self.world.run(1.0)
 
 
@@ -421,7 +422,7 @@
     """Play faults, let them end, and see that jobs are served again."""
     for _ in range(STEPS):
         explorer.step()
-    explorer.calm_down()
+    explorer.end_faults()
     for number, entry in enumerate(explorer.entries):
         explorer.world.submit(entry, make_job(f"last-{number}", width=4))
     explorer.world.run(3.0)
@@ -429,37 +430,37 @@
         assert explorer.world.get_ends(f"last-{number}") == ["completed"]
 
 
-@pytest.mark.parametrize("seed", [*SEEDS, *FOUND_PATIENT])
+@pytest.mark.parametrize("seed", [*SEEDS, *REGRESSION_SEEDS])
 def test_nothing_runs_twice_at_once_under_random_faults(seed: int) -> None:
     explore(Explorer(seed))
 
 
-@pytest.mark.parametrize("seed", [*SEEDS, *FOUND_WIDE])
+@pytest.mark.parametrize("seed", [*SEEDS, *REGRESSION_SEEDS_PARTIAL_MESH])
 def test_nothing_runs_twice_where_agents_meet_some_entries_only(seed: int) -> None:
-    explore(Explorer(seed, size=WIDE))
+    explore(Explorer(seed, size=PARTIAL_MESH))
 
 
-@pytest.mark.parametrize("seed", [*SEEDS, *FOUND_PRESSED])
+@pytest.mark.parametrize("seed", [*SEEDS, *REGRESSION_SEEDS_LAGGING])
 def test_nothing_runs_twice_while_jobs_are_handed_on(seed: int) -> None:
-    explore(PressedExplorer(seed))
+    explore(LaggingExplorer(seed))
 
 
 def test_exploration_hands_jobs_on() -> None:
     events = []
     for seed in SEEDS:
-        explorer = PressedExplorer(seed)
+        explorer = LaggingExplorer(seed)
         explore(explorer)
         events += [note.event for _, _, note in explorer.world.notes]
-    assert events.count("job_forwarded") >= HANDED_ON * len(SEEDS)
-    assert events.count("forwarded_ended") >= HANDED_ON * len(SEEDS)
+    assert events.count("job_forwarded") >= MIN_FORWARDED_PER_SEED * len(SEEDS)
+    assert events.count("forwarded_ended") >= MIN_FORWARDED_PER_SEED * len(SEEDS)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_nothing_runs_twice_while_jobs_are_handed_on_in_a_wide_fleet(seed: int) -> None:
-    explore(PressedExplorer(seed, size=WIDE))
+    explore(LaggingExplorer(seed, size=PARTIAL_MESH))
 
 
-@pytest.mark.parametrize("seed", FOUND)
+@pytest.mark.parametrize("seed", REGRESSION_SEEDS_IMPATIENT)
 def test_what_was_found_with_impatient_callers_stays_mended(seed: int) -> None:
     explore(Explorer(seed, impatient=True))
 
--- a/tests/core/runs/test_failures.py
+++ b/tests/core/runs/test_failures.py
@@ -7,7 +7,7 @@
 import pytest
 from standins.leased_endpoint import Behaviour, FakeEndpoint
 
-from godwitbank._internal.core.runs.events import Reported, ReportRecalled
+from godwitbank._internal.core.runs.events import ReportReceived, StoredReportRead
 from godwitbank._internal.models.resources import Resources
 from tests.core.runs.test_path import make_world
 from tests.lib.runs_world import QUEUE, RunsWorld, make_job
@@ -157,7 +157,7 @@
     world.kill("agent-0")
     world.run(0.5)
     agent = world.add_agent("agent-0")
-    agent.give(ReportRecalled(world.kept["agent-0"]))
+    agent.give(StoredReportRead(world.kept["agent-0"]))
     world.run_until(lambda: agent.core.open)
     world.run(0.01)
     world.submit("entry-1", make_job("j2", width=8, seconds=2.0))
@@ -208,7 +208,7 @@
 def _report(world: RunsWorld, name: str):
     endpoint = world.endpoints[name]
     assert endpoint is not None
-    return Reported(endpoint.report(world.now))
+    return ReportReceived(endpoint.report(world.now))
 
 
 def test_a_late_report_of_a_former_boot_changes_nothing() -> None:
@@ -234,7 +234,7 @@
     endpoint = world.endpoints["agent-0"]
     assert endpoint is not None
     foreign = endpoint.report(world.now)._replace(instance="i-foreign", service="zz")
-    world.processes["agent-0"].give(Reported(foreign))
+    world.processes["agent-0"].give(ReportReceived(foreign))
     world.run(2.0)
     agent = world.processes["agent-0"].core
     assert agent.endpoint.instance == endpoint.instance
@@ -251,7 +251,7 @@
     endpoint = world.endpoints["agent-0"]
     assert endpoint is not None
     foreign = endpoint.report(world.now)._replace(service="zz", sequence=10**6)
-    world.processes["agent-0"].give(Reported(foreign))
+    world.processes["agent-0"].give(ReportReceived(foreign))
     assert world.processes["agent-0"].core.endpoint.service == QUEUE.service
     world.run(2.0)
     # Nor may its sequence hide the endpoint's own later reports.
@@ -385,7 +385,7 @@
     world = make_world(agents=1)
     world.kill("agent-0")
     agent = world.add_agent("agent-0")
-    agent.give(ReportRecalled(world.kept["agent-0"]))
+    agent.give(StoredReportRead(world.kept["agent-0"]))
     world.run(0.1)
     assert agent.core.open
 
@@ -399,7 +399,7 @@
     smaller = Resources(8000, 65536, 0)
     world.endpoints["agent-0"] = FakeEndpoint("i-new", QUEUE.service, smaller)
     agent = world.add_agent("agent-0")
-    agent.give(ReportRecalled(world.kept["agent-0"]))
+    agent.give(StoredReportRead(world.kept["agent-0"]))
     world.run(0.1)
     assert not agent.core.open
     world.boot_endpoint("agent-0", smaller)
--- a/tests/core/runs/test_forwarding.py
+++ b/tests/core/runs/test_forwarding.py
@@ -3,7 +3,7 @@
 from godwitbank._internal.core.runs.events import (
     ConfigurationRead,
     JobCancelled,
-    Lagged,
+    LagMeasured,
 )
 from godwitbank._internal.models.jobs import Configuration
 from godwitbank._internal.models.resources import Resources
@@ -20,7 +20,7 @@
     """Make a deployment whose first entry is late."""
     world = make_world(entries=entries)
     for _ in range(8):
-        world.processes["entry-0"].give(Lagged(LATE))
+        world.processes["entry-0"].give(LagMeasured(LATE))
         world.run(0.025)
     return world
 
@@ -54,7 +54,7 @@
 def test_a_job_is_not_handed_on_twice() -> None:
     world = make_pressed_world()
     for _ in range(8):
-        world.processes["entry-1"].give(Lagged(LATE))
+        world.processes["entry-1"].give(LagMeasured(LATE))
         world.run(0.001)
     world.submit("entry-0", make_job("j1", seconds=0.2))
     world.run(0.5)
--- a/tests/core/runs/test_homes.py
+++ b/tests/core/runs/test_homes.py
@@ -1,7 +1,7 @@
 """Who decides on a job, and what it remembers of that."""
 
 from godwitbank._internal.core.runs.homes import KEEP_SECONDS, Grants, choose_home
-from godwitbank._internal.core.runs.links import SILENCE
+from godwitbank._internal.core.runs.links import BUSY_TIMEOUT_SECONDS
 
 ENTRIES = tuple(f"10.0.{number}.1:7720" for number in range(12))
 JOBS = [f"{number:016x}" for number in range(600)]
@@ -37,7 +37,7 @@
     """Guards against callers who are sent to an entry that hasn't the job any more."""
     grants = Grants()
     grants.add("j1", "entry-0", 7, 100.0)
-    grants.remove("j1", "entry-0", 0, 100.0 + SILENCE + 0.1)
+    grants.remove("j1", "entry-0", 0, 100.0 + BUSY_TIMEOUT_SECONDS + 0.1)
     assert grants.find("j1") == ""
 
 
--- a/tests/core/runs/test_meeting.py
+++ b/tests/core/runs/test_partial_mesh.py
@@ -8,7 +8,7 @@
 from godwitbank._internal.core.runs.addresses import ENTRIES_PER_AGENT, Addresses
 from godwitbank._internal.core.runs.events import AddressesRead
 from godwitbank._internal.core.runs.homes import choose_home
-from godwitbank._internal.core.runs.links import IDLE_SILENCE
+from godwitbank._internal.core.runs.links import IDLE_TIMEOUT_SECONDS
 from tests.lib.runs_world import Process, RunsWorld, make_job
 
 NOW = 100.0
@@ -17,7 +17,7 @@
 GROWTH = 1.5
 
 
-def make_wide_world(entries: int = 4, agents: int = 8, met: int = 2) -> RunsWorld:
+def make_partial_mesh(entries: int = 4, agents: int = 8, met: int = 2) -> RunsWorld:
     """Make a deployment in which each agent meets some entries only."""
     world = RunsWorld(entries_per_agent=met)
     for number in range(entries):
@@ -43,13 +43,13 @@
 
 
 def test_each_agent_meets_as_many_entries_as_wanted() -> None:
-    world = make_wide_world()
+    world = make_partial_mesh()
     for number in range(8):
         assert len(list_met(world, f"agent-{number}")) == 2
 
 
 def test_streams_move_to_an_entry_that_comes_and_back() -> None:
-    world = make_wide_world(entries=3)
+    world = make_partial_mesh(entries=3)
     world.add_entry("entry-3")
     for number in range(8):
         world.processes[f"agent-{number}"].give(AddressesRead(("entry-3",)))
@@ -67,7 +67,7 @@
     # Symptom: a job is late by seconds. Sequence: an entry joins; agents leave others
     # for it while runs of theirs are in flight. Cause: a stream was closed with runs
     # on it, which counted as lost until their lease had run out.
-    world = make_wide_world(entries=3)
+    world = make_partial_mesh(entries=3)
     for number in range(3):
         world.submit(f"entry-{number}", make_job(f"j{number}", width=8, seconds=2.0))
     world.run(0.1)
@@ -91,14 +91,14 @@
     # takes a job; its caller's connection breaks unnoticed and it goes to the other,
     # which doesn't meet the agents that run it. Cause: the second could ask neither
     # the first nor those agents.
-    world = make_wide_world()
+    world = make_partial_mesh()
     first, agent = find_unshared(world, "entry-0")
     # What the first one takes is run by that one agent.
     for name in [each for each in world.processes if each.startswith("agent")]:
         if name != agent and first in list_met(world, name):
             world.cut_link(first, name)
     world.cut_link("entry-0", first)
-    world.run(IDLE_SILENCE + 1.0)
+    world.run(IDLE_TIMEOUT_SECONDS + 1.0)
     world.submit(first, make_job(job, width=2, seconds=3.0))
     world.run(1.3)
     world.submit("entry-0", make_job(job, width=2, seconds=3.0))
@@ -111,7 +111,7 @@
     # Symptom: entries and agents spend most of their time on questions while an entry
     # is missing. Sequence: an entry is killed; each job of the next seconds is asked
     # for at every agent. Cause: its death couldn't be told from a cut.
-    world = make_wide_world()
+    world = make_partial_mesh()
     world.kill("entry-3")
     world.run(1.5)
     sent = watch_frames(world)
@@ -127,9 +127,9 @@
     # that was cut, on a stream with nothing else in flight; its entry has given it
     # up and started the task elsewhere when it arrives. Cause: on such streams
     # silence no longer shows that what arrives is old.
-    world = make_wide_world(entries=1, agents=1)
+    world = make_partial_mesh(entries=1, agents=1)
     view = next(iter(world.processes["entry-0"].core.dispatcher.fleet.views.values()))
-    assert view.link.read_clock(world.now) == pytest.approx(world.now, abs=0.01)
+    assert view.link.estimate_clock(world.now) == pytest.approx(world.now, abs=0.01)
     world.delay_frames("entry-0", "agent-0", 0.9)
     world.submit("entry-0", make_job("j1", seconds=0.2))
     world.run(3.0)
@@ -178,7 +178,7 @@
 
 def measure_idle(entries: int, agents: int) -> Cost:
     """Measure a deployment in which nothing is asked for."""
-    world = make_wide_world(entries, agents, ENTRIES_PER_AGENT)
+    world = make_partial_mesh(entries, agents, ENTRIES_PER_AGENT)
     world.checking = False
     watch = watch_frames(world)
     world.run(WATCH_SECONDS)
@@ -205,7 +205,7 @@
     met: Counter[str] = Counter()
     for number in range(160):
         addresses = Addresses(f"10.1.0.{number}:7720", ENTRIES_PER_AGENT)
-        addresses.learn(entries, NOW)
+        addresses.add(entries, NOW)
         due = addresses.list_due(NOW)
         assert len(due) == ENTRIES_PER_AGENT
         met.update(due)
@@ -216,27 +216,27 @@
 def test_a_dead_entry_is_replaced_and_dialled_rarely() -> None:
     entries = [f"entry-{number}" for number in range(20)]
     addresses = Addresses("agent-0", 4)
-    addresses.learn(entries, NOW)
+    addresses.add(entries, NOW)
     first = addresses.list_due(NOW)
     for address in first[1:]:
-        addresses.open(address, address, NOW)
-    addresses.close("", first[0], NOW)
+        addresses.add_stream(address, address, NOW)
+    addresses.remove_stream("", first[0], NOW)
     (other,) = addresses.list_due(NOW)
     assert other not in first
-    addresses.open(other, other, NOW)
+    addresses.add_stream(other, other, NOW)
     now, dials = NOW, 0
     while now < NOW + 30.0:
         now = max(now + 0.01, addresses.next_wakeup())
         for address in addresses.list_due(now):
             assert address == first[0]
             dials += 1
-            addresses.close("", address, now)
+            addresses.remove_stream("", address, now)
     assert dials <= 15
 
 
 def test_a_lost_entry_delays_the_jobs_that_it_decided_about_only() -> None:
     """Guards against all entries that hold every new job while one is missing."""
-    world = make_wide_world(entries=5, agents=10)
+    world = make_partial_mesh(entries=5, agents=10)
     world.darken("entry-4")
     world.run(1.3)
     jobs = [f"j{number}" for number in range(40)]
@@ -257,7 +257,7 @@
     joins: bool, number: int
 ) -> None:
     """Guards against the next home, which lets start what runs already."""
-    world = make_wide_world(entries=5, agents=10)
+    world = make_partial_mesh(entries=5, agents=10)
     entries = tuple(f"entry-{each}" for each in range(5))
     left = (*entries[:4], "entry-5") if joins else entries[:4]
     jobs = [f"j{each}" for each in range(400)]
--- a/tests/core/runs/test_silence.py
+++ b/tests/core/runs/test_silent_streams.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.core.runs.test_exploration import COME_AGAIN_SECONDS
+from tests.core.runs.test_exploration import RESUBMIT_SECONDS
 from tests.core.runs.test_path import make_world
 from tests.lib.runs_world import CAPACITY, RunsWorld, make_job
 
@@ -87,6 +87,6 @@
     world.run(back)
     for name in ("entry-2", "entry-3"):
         world.add_entry(name)
-    world.run(COME_AGAIN_SECONDS - lost_at - back)
+    world.run(RESUBMIT_SECONDS - lost_at - back)
     world.submit("entry-3", job)
     world.run(3.0)
--- a/tests/core/runs/test_silence_exploration.py
+++ b/tests/core/runs/test_silent_streams_exploration.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from tests.core.runs.test_exploration import SEEDS, WIDE, Explorer, explore
+from tests.core.runs.test_exploration import PARTIAL_MESH, SEEDS, Explorer, explore
 
-FOUND_WIDE = (
+REGRESSION_SEEDS_PARTIAL_MESH = (
     # An entry that had just been started took a job of one that was lost behind silent
     # streams and back at once; those that knew took its former process for alive.
     1332,
@@ -20,13 +20,13 @@
 """Share of the streams' ends of which the other one still hears."""
 
 
-class SilenceExplorer(Explorer):
+class SilentStreamExplorer(Explorer):
     """Explores streams that go silent without a word."""
 
-    def list_kinds(self) -> list[Callable[[], None]]:
+    def list_actions(self) -> list[Callable[[], None]]:
         """List what may happen."""
         mine = [self.silence_all, self.silence_some, self.silence_one_way]
-        return [*super().list_kinds(), *mine]
+        return [*super().list_actions(), *mine]
 
     def silence_all(self) -> None:
         """Let all streams that are open go silent."""
@@ -43,20 +43,20 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_nothing_runs_twice_while_streams_fall_silent(seed: int) -> None:
-    explore(SilenceExplorer(seed))
+    explore(SilentStreamExplorer(seed))
 
 
-@pytest.mark.parametrize("seed", [*SEEDS, *FOUND_WIDE])
+@pytest.mark.parametrize("seed", [*SEEDS, *REGRESSION_SEEDS_PARTIAL_MESH])
 def test_nothing_runs_twice_while_streams_of_a_wide_fleet_fall_silent(
     seed: int,
 ) -> None:
-    explore(SilenceExplorer(seed, size=WIDE))
+    explore(SilentStreamExplorer(seed, size=PARTIAL_MESH))
 
 
 def test_exploration_probes_streams() -> None:
     probed = 0
     for seed in SEEDS[:10]:
-        explorer = SilenceExplorer(seed)
+        explorer = SilentStreamExplorer(seed)
         explore(explorer)
         processes = explorer.world.processes.values()
         probed += sum(
--- a/tests/core/runs/test_takeovers.py
+++ b/tests/core/runs/test_takeovers.py
@@ -6,9 +6,9 @@
 import pytest
 
 from godwitbank._internal.core.runs.events import AddressesRead
-from godwitbank._internal.core.runs.links import IDLE_SILENCE
+from godwitbank._internal.core.runs.links import IDLE_TIMEOUT_SECONDS
 from tests.core.runs.test_failures import find_agents
-from tests.core.runs.test_meeting import make_wide_world
+from tests.core.runs.test_partial_mesh import make_partial_mesh
 from tests.core.runs.test_path import make_world
 from tests.lib.runs_world import RunsWorld, make_job
 
@@ -236,7 +236,7 @@
     world = make_world(entries=2, agents=3)
     for agent in ("agent-0", "agent-1"):
         world.cut_link("entry-1", agent)
-    world.run(IDLE_SILENCE + 1.0)
+    world.run(IDLE_TIMEOUT_SECONDS + 1.0)
     world.cut_link("entry-1", "entry-0")
     world.run(0.1)
     world.submit("entry-0", JOB)
@@ -278,7 +278,7 @@
     # Symptom: a task runs twice. Sequence: a job is in flight at one entry; another is
     # started, whose agents don't run it; the caller's connection breaks unnoticed and
     # it goes to the new one. Cause: takings were told only when they happened.
-    world = make_wide_world()
+    world = make_partial_mesh()
     world.submit("entry-0", JOB)
     world.run(0.1)
     world.kill("entry-3")
--- a/tests/core/runs/test_two_entries_exploration.py
+++ b/tests/core/runs/test_two_entries_exploration.py
@@ -4,26 +4,29 @@
 
 import pytest
 
-from godwitbank._internal.core.runs.events import CallerGone
+from godwitbank._internal.core.runs.events import CallerDisconnected
 from godwitbank._internal.models.jobs import JobSpec
-from tests.core.runs.test_exploration import SEEDS, SMALL, WIDE, Size, explore
-from tests.core.runs.test_silence_exploration import SilenceExplorer
+from tests.core.runs.test_exploration import PARTIAL_MESH, SEEDS, SMALL, Size, explore
+from tests.core.runs.test_silent_streams_exploration import SilentStreamExplorer
 from tests.lib.runs_world import make_job
 
 GAPS = (0.0, 0.0005, 0.001, 0.003, 0.01, 0.07, 0.3, 0.8)
 """Seconds between a job's two submissions."""
 
 
-class TwiceExplorer(SilenceExplorer):
+class TwiceExplorer(SilentStreamExplorer):
     """Explores jobs that are submitted at two entries, or twice at one."""
 
-    def list_kinds(self) -> list[Callable[[], None]]:
+    def list_actions(self) -> list[Callable[[], None]]:
         """List what may happen."""
-        return [*super().list_kinds(), *[self.submit_twice] * 8]
+        return [*super().list_actions(), *[self.submit_twice] * 8]
 
     def submit_twice(self) -> None:
         """Submit a new job at two entries, or twice at one; one caller may hang up."""
-        first, second = self._pick_live(self.entries), self._pick_live(self.entries)
+        first, second = (
+            self._pick_running(self.entries),
+            self._pick_running(self.entries),
+        )
         if first is None or second is None:
             return
         self.submitted += 1
@@ -33,7 +36,7 @@
         caller = self.world.submit(first, job, self.rng.choice((2.0, 5.0)))
         gap = self.rng.choice(GAPS)
         if self.rng.random() < 0.3:
-            self.world.after(gap, lambda: process.give(CallerGone(caller)))
+            self.world.after(gap, lambda: process.give(CallerDisconnected(caller)))
         patience = self.rng.choice((2.0, 5.0))
         self.world.after(gap, lambda: self._submit_live(second, job, patience))
 
@@ -43,7 +46,7 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-@pytest.mark.parametrize("size", [SMALL, WIDE], ids=["small", "wide"])
+@pytest.mark.parametrize("size", [SMALL, PARTIAL_MESH], ids=["small", "wide"])
 def test_nothing_runs_twice_though_jobs_come_to_two_entries(
     size: Size, seed: int
 ) -> None:
--- a/tests/lib/runs_processor.py
+++ b/tests/lib/runs_processor.py
@@ -11,7 +11,12 @@
 from typing import Any, NamedTuple
 
 from godwitbank._internal.core.events import Received, Send, Tick
-from godwitbank._internal.core.runs.events import Answer, JobSubmitted, Lagged, Note
+from godwitbank._internal.core.runs.events import (
+    AnswerCaller,
+    JobSubmitted,
+    LagMeasured,
+    LogDecision,
+)
 from godwitbank._internal.models.jobs import JobEnd, JobResult, JobSpec
 from godwitbank._internal.models.run_messages import RunOutcome, StartRun
 from godwitbank._internal.operations.lag import ENTRY_PERIOD
@@ -78,14 +83,14 @@
 
     def _tell_lag(self, due_at: float) -> Turn:
         self._ask_for_timer()
-        return self._handle(Lagged(self.world.now - due_at))
+        return self._handle(LagMeasured(self.world.now - due_at))
 
     def _handle(self, event: object) -> Turn:
-        if isinstance(event, JobSubmitted) and self.core.sheds:
+        if isinstance(event, JobSubmitted) and self.core.sheds_load:
             # As the programs do, ahead of the core.
             job = event.spec.job
             result = JobResult(job, JobEnd.REFUSED, "no_processor", False, 1.0)
-            return Turn(SHED_COST / self._share, [Answer(event.caller, result)])
+            return Turn(SHED_COST / self._share, [AnswerCaller(event.caller, result)])
         actions: list[Any] = self.core.handle(event, self.world.now)
         cost = _price(event) + sum(_price_action(action) for action in actions)
         return Turn(cost / self._share, actions)
@@ -115,9 +120,9 @@
 
 
 def _price_action(action: object) -> float:
-    if isinstance(action, Answer):
+    if isinstance(action, AnswerCaller):
         return ANSWER_COST
-    if isinstance(action, Note):
+    if isinstance(action, LogDecision):
         return ACCEPT_COST if action.event == "job_accepted" else 0.0
     if isinstance(action, Send):
         is_order = isinstance(action.message, StartRun)
--- a/tests/lib/runs_world.py
+++ b/tests/lib/runs_world.py
@@ -32,21 +32,21 @@
 from godwitbank._internal.core.runs.entry import RunEntryCore
 from godwitbank._internal.core.runs.events import (
     AddressesRead,
-    Answer,
-    CallerGone,
+    AnswerCaller,
+    CallerDisconnected,
     ConfigurationRead,
-    Departed,
+    EndpointExiting,
     EvacuationRead,
-    HoldFailed,
     JobSubmitted,
-    KeepReport,
-    Note,
-    Quiet,
-    Renew,
-    Reported,
-    Start,
+    LogDecision,
+    OrderStart,
+    OrderStop,
+    RenewalFailed,
+    RenewLease,
+    ReportReceived,
+    ShutdownComplete,
     StartAnswered,
-    Stop,
+    StoreReport,
 )
 from godwitbank._internal.core.runs.policy import DEFAULT, Policy
 from godwitbank._internal.core.runs.verdicts import HoldVerdict, StartVerdict
@@ -141,11 +141,11 @@
         self.results_at: dict[str, list[tuple[JobResult, float]]] = defaultdict(list)
         self.checking = True
         self.specs: dict[str, JobSpec] = {}
-        self.notes: list[tuple[float, str, Note]] = []
+        self.notes: list[tuple[float, str, LogDecision]] = []
         self.quiet: set[str] = set()
         self.kept: dict[str, EndpointReport] = {}
         self.cut: set[frozenset[str]] = set()
-        self.lose_start: Callable[[Start], float | None] = lambda order: None
+        self.lose_start: Callable[[OrderStart], float | None] = lambda order: None
         """Seconds after which an order whose answer is lost is carried out."""
         self.lose_hold: Callable[[str], bool] = lambda agent: False
         self._delays: dict[tuple[str, str], float] = {}
@@ -227,7 +227,7 @@
             return
         process = self.processes.get(name)
         if process is not None and not process.dead and not process.frozen:
-            process.give(Reported(endpoint.report(self.now)))
+            process.give(ReportReceived(endpoint.report(self.now)))
         self.after(self.deployment.report_period, lambda: self._report(name, endpoint))
 
     def _list(self, kind: type) -> list[Process]:
@@ -353,7 +353,7 @@
 
     def hang_up(self, entry: str, caller: int) -> None:
         """Let a caller's connection break."""
-        self.processes[entry].give(CallerGone(caller))
+        self.processes[entry].give(CallerDisconnected(caller))
 
     def get_ends(self, job: str) -> list[str]:
         """List how a job ended, as its callers were told."""
@@ -419,7 +419,7 @@
         endpoint = self.endpoints[name]
         assert endpoint is not None
         self.endpoints[name] = None
-        self.processes[name].give(Departed(endpoint.instance))
+        self.processes[name].give(EndpointExiting(endpoint.instance))
 
     # Actions
 
@@ -434,22 +434,22 @@
                 wire = process.streams.pop(action.stream, None)
                 if wire is not None:
                     self._close(wire)
-            elif isinstance(action, Start):
+            elif isinstance(action, OrderStart):
                 self._start(process, action)
-            elif isinstance(action, Stop):
+            elif isinstance(action, OrderStop):
                 self._order_stop(process, action)
-            elif isinstance(action, Renew):
+            elif isinstance(action, RenewLease):
                 self._renew(process, action)
-            elif isinstance(action, Answer):
+            elif isinstance(action, AnswerCaller):
                 self.results[action.result.job].append(action.result)
                 told = (action.result, self.now)
                 self.results_at[action.result.job].append(told)
-            elif isinstance(action, Note):
+            elif isinstance(action, LogDecision):
                 if self.checking:
                     self.notes.append((self.now, process.name, action))
-            elif isinstance(action, KeepReport):
+            elif isinstance(action, StoreReport):
                 self.kept[process.name] = action.report
-            elif isinstance(action, Quiet):
+            elif isinstance(action, ShutdownComplete):
                 self.quiet.add(process.name)
 
     def _is_cut(self, one: Process, other: Process) -> bool:
@@ -516,7 +516,7 @@
 
         self.after(LINK_DELAY, reset)
 
-    def _start(self, process: Process, order: Start) -> None:
+    def _start(self, process: Process, order: OrderStart) -> None:
         endpoint = self.endpoints.get(process.name)
         seconds = self._find_seconds(order)
         late = self.lose_start(order)
@@ -526,7 +526,7 @@
         if endpoint is None or late is not None:
             if endpoint is not None and late is not None:
                 self.after(late, lambda: self._start_late(endpoint, order, seconds))
-            self.after(order.patience, lambda: process.give(lost))
+            self.after(order.timeout_seconds, lambda: process.give(lost))
             return
 
         def carry_out() -> None:
@@ -535,23 +535,25 @@
 
         self.after(CALL_DELAY, carry_out)
 
-    def _find_seconds(self, order: Start) -> float:
+    def _find_seconds(self, order: OrderStart) -> float:
         times = order.payload.split(",")
         return float(times[int(order.task.rpartition(".")[2]) % len(times)])
 
-    def _start_late(self, endpoint: FakeEndpoint, order: Start, sec: float) -> None:
+    def _start_late(
+        self, endpoint: FakeEndpoint, order: OrderStart, sec: float
+    ) -> None:
         endpoint.start(order, self.now, sec)
 
-    def _order_stop(self, process: Process, order: Stop) -> None:
+    def _order_stop(self, process: Process, order: OrderStop) -> None:
         endpoint = self.endpoints.get(process.name)
         if endpoint is not None:
             self.after(CALL_DELAY, lambda: endpoint.stop(order, self.now))
 
-    def _renew(self, process: Process, order: Renew) -> None:
+    def _renew(self, process: Process, order: RenewLease) -> None:
         endpoint = self.endpoints.get(process.name)
         if endpoint is None or self.lose_hold(process.name):
-            failed = HoldFailed(order.renewal, HoldVerdict.NO_ANSWER, None)
-            delay = order.patience + order.wait / 1000
+            failed = RenewalFailed(order.renewal, HoldVerdict.NO_ANSWER, None)
+            delay = order.timeout_seconds + order.wait / 1000
             self.after(delay, lambda: process.give(failed))
             return
 
@@ -561,7 +563,7 @@
 
             def poll() -> None:
                 nonlocal answer
-                if not isinstance(answer, HoldFailed):
+                if not isinstance(answer, RenewalFailed):
                     answer = endpoint.list_all(order, self.now)
                     if not answer.ended and self.now < until:
                         self.after(0.005, poll)
--- a/tests/platform/test_callers.py
+++ b/tests/platform/test_callers.py
@@ -18,7 +18,7 @@
         shed.append(job)
         return JobResult(job, JobEnd.REFUSED, "no_processor", False, 1.0)
 
-    core = SimpleNamespace(sheds=True, stopping=False, counts=Counts())
+    core = SimpleNamespace(sheds_load=True, stopping=False, counts=Counts())
     return SimpleNamespace(core=core, shed=refuse)
 
 
