--- a/src/godwitbank/_internal/core/runs/dispatcher.py
+++ b/src/godwitbank/_internal/core/runs/dispatcher.py
@@ -14,7 +14,7 @@
 )
 from godwitbank._internal.core.runs.deployment import DEFAULT_DEPLOYMENT, Deployment
 from godwitbank._internal.core.runs.estimates import RunTimeEstimates
-from godwitbank._internal.core.runs.events import Answer, Note, RunAction
+from godwitbank._internal.core.runs.events import AnswerCaller, LogDecision, RunAction
 from godwitbank._internal.core.runs.fleet import (
     MIN_ARRIVAL_WAIT_SECONDS,
     AgentView,
@@ -105,7 +105,7 @@
         self._out = out
 
     def _note(self, event: str, request: str, **fields: object) -> None:
-        self._out(Note(event, request, fields))
+        self._out(LogDecision(event, request, fields))
 
     # Jobs
 
@@ -191,7 +191,7 @@
         end = JobEnd.GIVEN_UP if job.ran else JobEnd.REFUSED
         result = JobResult(job.spec.job, end, reason, job.ran, RETRY_AFTER_SECONDS)
         for caller in job.callers:
-            self._out(Answer(caller, result))
+            self._out(AnswerCaller(caller, result))
 
     def _get_waiting(self, job: Job) -> WaitingTasks:
         service = job.queue.service
@@ -221,7 +221,7 @@
     def _finish(self, job: Job, result: JobResult) -> None:
         job.ending = True
         for caller in job.callers:
-            self._out(Answer(caller, result))
+            self._out(AnswerCaller(caller, result))
         job.callers = []
         self._note(
             "job_ended",
@@ -311,7 +311,7 @@
             rules.spread,
             task.checkpoint,
             parked,
-            view.link.read_clock(self._now),
+            view.link.estimate_clock(self._now),
         )
         self._out(Send(view.stream, order))
 
--- a/src/godwitbank/_internal/core/runs/endpoint.py
+++ b/src/godwitbank/_internal/core/runs/endpoint.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from godwitbank._internal.core.runs.deployment import DEFAULT_DEPLOYMENT, Deployment
-from godwitbank._internal.core.runs.events import Renew, Start, Stop
+from godwitbank._internal.core.runs.events import OrderStart, OrderStop, RenewLease
 from godwitbank._internal.core.runs.lease import EndpointClock
 from godwitbank._internal.models.jobs import EndpointReport
 from godwitbank._internal.models.resources import Resources
@@ -212,12 +212,12 @@
 
     # Orders
 
-    def make_start(self, order: StartRun, now: float, ends_by: float) -> Start:
+    def make_start(self, order: StartRun, now: float, ends_by: float) -> OrderStart:
         """Make the order to start a run.
 
         :param ends_by: when everything here must be over unless it is renewed.
         """
-        return Start(
+        return OrderStart(
             self.instance,
             order.task,
             order.run,
@@ -228,11 +228,11 @@
             self.answer_timeout_seconds,
         )
 
-    def make_stop(self, task: str, run: int) -> Stop:
+    def make_stop(self, task: str, run: int) -> OrderStop:
         """Make the order to stop a run."""
-        return Stop(self.instance, task, run, self.token)
+        return OrderStop(self.instance, task, run, self.token)
 
-    def list_renewals(self, now: float, busy: bool, ends_by: float) -> list[Renew]:
+    def list_renewals(self, now: float, busy: bool, ends_by: float) -> list[RenewLease]:
         """List the lease renewals to send now.
 
         One waits at the endpoint for an end at any time while something runs;
@@ -258,7 +258,7 @@
             return []
         return [self._renew(now, int(RENEWAL_WAIT_SECONDS * 1000), ends_by)]
 
-    def _renew(self, now: float, wait: int, ends_by: float) -> Renew:
+    def _renew(self, now: float, wait: int, ends_by: float) -> RenewLease:
         self._next_renewal += 1
         number = self._next_renewal
         # What a former agent started must not live on by this agent's lease. And
@@ -267,7 +267,7 @@
         grants = not self._inherits and self._unanswered < MAX_UNANSWERED_RENEWALS
         until = self.clock.grant(now, ends_by) if grants and ends_by > now else None
         self._renewals[number] = Renewal(self.token, now)
-        return Renew(
+        return RenewLease(
             number,
             self.instance,
             until,
@@ -298,7 +298,9 @@
         self._seen = number
         return True
 
-    def stop_unknown_runs(self, strangers: list[UnknownRun], now: float) -> list[Stop]:
+    def stop_unknown_runs(
+        self, strangers: list[UnknownRun], now: float
+    ) -> list[OrderStop]:
         """Stop what a former agent started; without any, the endpoint is settled."""
         self.reconciled = not strangers
         if not strangers:
--- a/src/godwitbank/_internal/core/runs/intake.py
+++ b/src/godwitbank/_internal/core/runs/intake.py
@@ -7,11 +7,11 @@
 from godwitbank._internal.core.runs.admission import RETRY_AFTER_SECONDS
 from godwitbank._internal.core.runs.dispatcher import Dispatcher
 from godwitbank._internal.core.runs.events import (
-    Answer,
-    CallerGone,
+    AnswerCaller,
+    CallerDisconnected,
     JobCancelled,
     JobSubmitted,
-    Note,
+    LogDecision,
     RunAction,
 )
 from godwitbank._internal.core.runs.forwarding import Forwarding
@@ -50,7 +50,7 @@
         """Prepare for one event."""
         self._now = now
         self._out = out
-        self._forwarding.begin(now, out)
+        self._forwarding.begin_event(now, out)
 
     @property
     def busy(self) -> bool:
@@ -82,7 +82,7 @@
             # works for callers that have left.
             self._refuse(event, "no_processor")
             return
-        job = Job(spec, queue, event.caller, self._now, event.patience)
+        job = Job(spec, queue, event.caller, self._now, event.timeout_seconds)
         if acquired:
             self._handover.start(job)
         else:
@@ -97,9 +97,9 @@
         if known is None:
             return False
         self._counts.add("jobs_joined")
-        self._out(Note("job_joined", name, {}))
+        self._out(LogDecision("job_joined", name, {}))
         known.callers.append(event.caller)
-        known.deadline = max(known.deadline, self._now + event.patience)
+        known.deadline = max(known.deadline, self._now + event.timeout_seconds)
         return True
 
     def _find_known(self, name: str) -> Job | None:
@@ -112,13 +112,13 @@
         self._counts.add("jobs_refused", reason)
         job = event.spec.job
         lag = round(self._pressure.lag, 3)
-        self._out(Note("job_refused", job, {"reason": reason, "lag": lag}))
+        self._out(LogDecision("job_refused", job, {"reason": reason, "lag": lag}))
         result = JobResult(job, JobEnd.REFUSED, reason, False, RETRY_AFTER_SECONDS)
-        self._out(Answer(event.caller, result))
+        self._out(AnswerCaller(event.caller, result))
 
-    def handle_caller_loss(self, event: CallerGone) -> None:
+    def handle_caller_loss(self, event: CallerDisconnected) -> None:
         """Give up what only a caller who is gone waits for."""
-        self._forwarding.lose_caller(event.caller)
+        self._forwarding.handle_caller_loss(event.caller)
         self._handover.handle_caller_loss(event.caller)
         for job in list(self._dispatcher.jobs.values()):
             if event.caller not in job.callers:
@@ -156,7 +156,7 @@
     def handle_yielded(self, link: Link, message: Yielded) -> None:
         """Go on with a job that another entry doesn't have, or no longer."""
         self._handover.handle_yielded(link, message)
-        self._forwarding.hear_yielded(link.stream, message.job)
+        self._forwarding.handle_yielded(link.stream, message.job)
 
     def handle_withdraw(self, link: Link, message: Withdraw) -> None:
         """Give up a job that another entry's caller no longer waits for."""
@@ -165,7 +165,7 @@
 
     def handle_stream_loss(self, stream: int) -> None:
         """Note that a stream to another entry ended, in both roles."""
-        self._forwarding.lose_stream(stream)
+        self._forwarding.handle_stream_loss(stream)
         for gone in self._adoption.drop_stream(stream):
             self.handle_caller_loss(gone)
 
--- a/src/godwitbank/_internal/core/runs/ownership_announcements.py
+++ b/src/godwitbank/_internal/core/runs/ownership_announcements.py
@@ -79,6 +79,6 @@
         """
         for owner, taken in takings.list_by_owner().items():
             link = self._links.find(owner)
-            if link is None or not self._links.is_fresh(link, now):
+            if link is None or not self._links.is_responsive(link, now):
                 ages = [now - taking.at for taking in taken.values()]
                 self._out(Send(stream, Took(list(taken), ages, owner)))
--- a/src/godwitbank/_internal/core/runs/reachability.py
+++ b/src/godwitbank/_internal/core/runs/reachability.py
@@ -4,9 +4,9 @@
 from random import Random
 
 from godwitbank._internal.core.events import Send
-from godwitbank._internal.core.runs.events import Note, RunAction
+from godwitbank._internal.core.runs.events import LogDecision, RunAction
 from godwitbank._internal.core.runs.indirect_probes import IndirectProbes, ProbeRequests
-from godwitbank._internal.core.runs.links import SILENCE, Link, Links
+from godwitbank._internal.core.runs.links import BUSY_TIMEOUT_SECONDS, Link, Links
 from godwitbank._internal.core.runs.ownership import JobOwnership
 from godwitbank._internal.models.messages import Message
 from godwitbank._internal.models.run_messages import Locate, Located, Took, Yield
@@ -68,7 +68,9 @@
             if spoke_for:
                 self._ask_again(address)
         if gone or message.reachable:
-            self._out(Note("peer_located", "", {"address": address, "gone": gone}))
+            self._out(
+                LogDecision("peer_located", "", {"address": address, "gone": gone})
+            )
         if gone:
             self._takings.confirm_lost(owner)
 
@@ -143,11 +145,11 @@
         """
         self._testimony.add(message.address, link.stream, self._now)
         heard_at = [
-            each.heard_at
+            each.last_received_at
             for each in self._links.list_peers()
             if each.hello.address == message.address
         ]
-        if not heard_at or self._now - heard_at[0] > SILENCE:
+        if not heard_at or self._now - heard_at[0] > BUSY_TIMEOUT_SECONDS:
             age = self._measure_age(message.address, heard_at)
             self._send(link.stream, Located(message.address, False, "", age))
 
--- a/src/godwitbank/_internal/core/runs/runner.py
+++ b/src/godwitbank/_internal/core/runs/runner.py
@@ -13,9 +13,9 @@
 from godwitbank._internal.core.runs.deployment import MAX_LEASE_SECONDS
 from godwitbank._internal.core.runs.endpoint import Endpoint, UnknownRun
 from godwitbank._internal.core.runs.events import (
-    Held,
-    HoldFailed,
-    Note,
+    LogDecision,
+    RenewalAnswered,
+    RenewalFailed,
     RunAction,
     StartAnswered,
 )
@@ -113,7 +113,7 @@
 
     def record_liveness(self, link: Link, at: float) -> None:
         """Note that an entry lived at a moment, on the clock of this agent."""
-        link.proved_at = max(link.proved_at, at)
+        link.last_alive_at = max(link.last_alive_at, at)
         self._lives.record_alive(link.hello.incarnation, at)
 
     def prune_liveness(self) -> None:
@@ -134,7 +134,7 @@
         ]
 
     def _note(self, event: str, request: str = "", **fields: object) -> None:
-        self._out.append(Note(event, request, fields))
+        self._out.append(LogDecision(event, request, fields))
 
     def _send(self, stream: int, message: Message) -> None:
         self._out.append(Send(stream, message))
@@ -309,7 +309,7 @@
             self._endpoint.raise_token(self._now)
         self._note("start_unanswered", held.order.task, run=held.order.run)
 
-    def handle_renewal_answer(self, event: Held) -> None:
+    def handle_renewal_answer(self, event: RenewalAnswered) -> None:
         """Take what the endpoint lists."""
         renewal = self._endpoint.pop_renewal(event.renewal)
         if renewal is None or event.instance not in ("", self._endpoint.instance):
@@ -413,7 +413,7 @@
         else:
             self._send(link.stream, outcome)
 
-    def handle_renewal_failure(self, event: HoldFailed) -> None:
+    def handle_renewal_failure(self, event: RenewalFailed) -> None:
         """Act on a renewal that was refused or not answered."""
         renewal = self._endpoint.pop_renewal(event.renewal)
         if renewal is None:
