--- a/src/godwitbank/_internal/core/runs/agent.py
+++ b/src/godwitbank/_internal/core/runs/agent.py
@@ -361,9 +361,12 @@
         pulse = self._make_pulse()
         unproved = self.links.list_due_heartbeats(self._now)
         for link in self.links:
-            changed = abs(pulse.slowness - link.announced_slowness) >= SLOWNESS_UPDATE_STEP
             changed = (
-                changed or abs(pulse.lag - link.announced_lag) >= LAG_UPDATE_STEP_SECONDS
+                abs(pulse.slowness - link.announced_slowness) >= SLOWNESS_UPDATE_STEP
+            )
+            changed = (
+                changed
+                or abs(pulse.lag - link.announced_lag) >= LAG_UPDATE_STEP_SECONDS
             )
             if changed or link in unproved:
                 self._send_pulse(link, pulse)
--- a/tests/core/runs/test_takeovers.py
+++ b/tests/core/runs/test_takeovers.py
@@ -4,12 +4,12 @@
 """
 
 import pytest
-from tests.core.runs.test_partial_mesh import make_partial_mesh
 
 from godwitbank._internal.core.runs.events import AddressesRead
 from godwitbank._internal.core.runs.links import IDLE_TIMEOUT_SECONDS
 from tests.core.runs.test_failures import find_agents
 from tests.core.runs.test_happy_path import make_world
+from tests.core.runs.test_partial_mesh import make_partial_mesh
 from tests.lib.runs_world import RunsWorld, make_job
 
 RESUBMIT_SECONDS = 1.3
