--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -60,7 +60,7 @@
     """Replace the dispatcher's choice in this process."""
     if name in CHOICES:
         Pool.choose = CHOICES[name]  # type: ignore
-        Dispatcher._tell_wants = (  # type: ignore
+        Dispatcher._announce_demand = (  # type: ignore
             lambda self, service: None
         )
 
--- a/src/godwitbank/_internal/core/dispatch.py
+++ b/src/godwitbank/_internal/core/dispatch.py
@@ -65,7 +65,7 @@
         self.jobs: dict[str, Job] = {}
         self.services: dict[str, Service] = {}
         self.claims = Claims()
-        self.entries = 1
+        self.entry_count = 1
         self._recalls = Recalls()
         self._catalog = catalog
         self._counts = counts
@@ -163,7 +163,7 @@
     # Claims
 
     def _write_claims(self) -> None:
-        batch = self.claims.next_batch(self._now, self.entries)
+        batch = self.claims.next_batch(self._now, self.entry_count)
         if batch is not None:
             self._counts.add("claim_writes")
             self._out(WriteClaims(*batch))
@@ -255,7 +255,7 @@
             if task is None:
                 break
             self._start(service, task, view)
-        self._tell_wants(service)
+        self._announce_demand(service)
 
     def _start(self, service: Service, task: Task, view: AgentView) -> None:
         table = service.document.classes[task.spec.class_name]
@@ -286,7 +286,7 @@
             )
         )
 
-    def _tell_wants(self, service: Service) -> None:
+    def _announce_demand(self, service: Service) -> None:
         waiting = service.queue.waiting
         rank = (service.queue.find_rank() or 0.0) if waiting else 0.0
         if not service.announced_demand.is_due(waiting, rank, self._now):
@@ -434,7 +434,7 @@
         failed = Failed(job.submission, reason, ran, detail, retry_after, index)
         self._out(Reply(failed))
         self._cancel_sent(service, job)
-        self._tell_wants(service)
+        self._announce_demand(service)
 
     def _release(self, job: Job) -> None:
         claims = {}
--- a/src/godwitbank/_internal/core/entry.py
+++ b/src/godwitbank/_internal/core/entry.py
@@ -408,7 +408,7 @@
 
     def _tick(self, event: Tick) -> None:
         del event
-        self.dispatcher.entries = len(self.membership.list_entries())
+        self.dispatcher.entry_count = len(self.membership.list_entries())
         self.dispatcher.check_timers()
         if self._now < self._next_heartbeat:
             return
--- a/src/godwitbank/_internal/core/runs/entry.py
+++ b/src/godwitbank/_internal/core/runs/entry.py
@@ -144,7 +144,7 @@
         self.forwarding.on_job_finished = self.dispatcher.on_job_removed
         self.forwarding.on_job_unresolved = self.handover.record_forwarded
         self.handover.join = self.forwarding.join_at
-        self.handover.has_forwarded = self.forwarding.has_transferred
+        self.handover.has_transferred = self.forwarding.has_transferred
         self.intake = Intake(
             self.routes,
             self.dispatcher,
--- a/src/godwitbank/_internal/core/runs/fleet.py
+++ b/src/godwitbank/_internal/core/runs/fleet.py
@@ -151,11 +151,11 @@
 class Fleet:
     """All agents, by stream; health outlives a stream.
 
-    :param arrival_seconds: within which a new agent may still hear of its endpoint.
+    :param agent_startup_seconds: within which a new agent may still hear of its endpoint.
     """
 
-    def __init__(self, arrival_seconds: float) -> None:
-        self._arrival_seconds = arrival_seconds
+    def __init__(self, agent_startup_seconds: float) -> None:
+        self._agent_startup_seconds = agent_startup_seconds
         self.views: dict[int, AgentView] = {}
         self._by_address: dict[str, AgentView] = {}
         self._open: dict[str, list[AgentView]] = {}
@@ -243,7 +243,7 @@
         An agent without an endpoint for longer has none; its room won't come.
         """
         return any(
-            now - view.opened_at < self._arrival_seconds
+            now - view.opened_at < self._agent_startup_seconds
             and not view.evacuated
             and (view.news is None or not view.news.settled)
             for view in self.views.values()
--- a/src/godwitbank/_internal/core/runs/handover.py
+++ b/src/godwitbank/_internal/core/runs/handover.py
@@ -92,7 +92,7 @@
         )
         self.join: Callable[[Job, Link], None] = lambda job, link: None
         """Lets the callers of a job wait for it at another entry."""
-        self.has_forwarded: Callable[[str], bool] = lambda job: False
+        self.has_transferred: Callable[[str], bool] = lambda job: False
         """Tells whether a job that this entry may start was handed on to another."""
         self._readiness = Readiness(links, self._takings, self.reachability, now)
         self._tellings = OwnershipAnnouncements(links)
@@ -378,7 +378,7 @@
     def _is_here(self, name: str) -> bool:
         delayed = self._delayed.get(name)
         claiming = delayed is not None and delayed.claim_sent and not delayed.abandoned
-        return name in self._dispatcher.jobs or claiming or self.has_forwarded(name)
+        return name in self._dispatcher.jobs or claiming or self.has_transferred(name)
 
     def _find_holder(self, name: str) -> str | None:
         """Find the entry that has a job; ``None`` while its runs are being stopped."""
@@ -469,7 +469,7 @@
         self._dispatcher.submit(job)
         if name in self._dispatcher.jobs:
             self._tellings.announce(name, self._now)
-        elif not self.has_forwarded(name):
+        elif not self.has_transferred(name):
             self._release(name)
 
     def announce_changes(self) -> None:
--- a/tests/core/runs/test_failures.py
+++ b/tests/core/runs/test_failures.py
@@ -13,7 +13,7 @@
 from tests.lib.runs_world import QUEUE, RunsWorld, make_job
 
 
-def find_agents(world: RunsWorld, job: str) -> list[str]:
+def list_agents_running(world: RunsWorld, job: str) -> list[str]:
     """List the agents whose endpoints run something of a job."""
     return [
         name
@@ -87,7 +87,7 @@
     world.run(0.2)
     world.darken("entry-0")
     world.run(1.3)
-    assert not find_agents(world, "j1")
+    assert not list_agents_running(world, "j1")
     world.submit("entry-1", make_job("j1", width=4, seconds=3.0))
     world.run(8.0)
     assert world.get_ends("j1") == ["completed"]
@@ -173,7 +173,7 @@
     world = make_world(agents=2)
     world.submit("entry-0", make_job("j1", width=12, seconds=1.0))
     world.run(0.2)
-    world.crash_endpoint(find_agents(world, "j1")[0])
+    world.crash_endpoint(list_agents_running(world, "j1")[0])
     world.run(5.0)
     assert world.get_ends("j1") == ["completed"]
 
@@ -355,7 +355,7 @@
     world.run(0.2)
     world.hang_up("entry-0", caller)
     world.run(0.2)
-    assert not find_agents(world, "j1")
+    assert not list_agents_running(world, "j1")
 
 
 def test_a_job_refused_as_not_run_never_starts() -> None:
@@ -508,7 +508,7 @@
     job = make_job("j1", width=12, seconds=3.0)
     world.submit("entry-0", job)
     world.run(0.3)
-    assert find_agents(world, "j1") == ["agent-0", "agent-1"]
+    assert list_agents_running(world, "j1") == ["agent-0", "agent-1"]
     world.kill("agent-0")
     world.run(0.1)
     world.kill("entry-0")
--- a/tests/core/runs/test_takeovers.py
+++ b/tests/core/runs/test_takeovers.py
@@ -7,7 +7,7 @@
 
 from godwitbank._internal.core.runs.events import AddressesRead
 from godwitbank._internal.core.runs.links import IDLE_TIMEOUT_SECONDS
-from tests.core.runs.test_failures import find_agents
+from tests.core.runs.test_failures import list_agents_running
 from tests.core.runs.test_happy_path import make_world
 from tests.core.runs.test_partial_mesh import make_partial_mesh
 from tests.lib.runs_world import RunsWorld, make_job
@@ -46,7 +46,7 @@
     world = make_world(entries=3, agents=4)
     world.submit("entry-0", JOB)
     world.run(0.1)
-    agent = find_agents(world, "j1")[0]
+    agent = list_agents_running(world, "j1")[0]
     world.cut_link("entry-0", agent)
     world.run(0.01)
     killed_at = world.now
@@ -80,7 +80,7 @@
     world.run(3.0)
     world.submit("entry-2", JOB)
     world.run(0.4)
-    agent = find_agents(world, "j1")[0]
+    agent = list_agents_running(world, "j1")[0]
     broke_at = world.now
     world.run(0.05)
     darkened_at = world.now
@@ -110,9 +110,9 @@
     world.freeze("entry-2")
     world.run(0.8)
     world.submit("entry-0", JOB)
-    world.run_until(lambda: bool(find_agents(world, "j1")), 1.0)
+    world.run_until(lambda: bool(list_agents_running(world, "j1")), 1.0)
     world.run(0.2)
-    world.cut_link("entry-2", find_agents(world, "j1")[0])
+    world.cut_link("entry-2", list_agents_running(world, "j1")[0])
     world.run(1.0)
     world.thaw("entry-2")
     world.run(darkened_after)
