--- a/src/godwitbank/_internal/core/agent.py
+++ b/src/godwitbank/_internal/core/agent.py
@@ -88,43 +88,43 @@
         self._drained = False
         self._idle_since: float | None = None
         self._streams: dict[int, EntryStream] = {}
-        self._by_entry: dict[str, int] = {}
+        self._streams_by_incarnation: dict[str, int] = {}
         self._parking = Parking()
         self._grants = Grants()
         self._failures = FailureRate()
         self._next_heartbeat = now
-        self._out: list[Action] = []
+        self._actions: list[Action] = []
         self._now = now
         self._handlers: dict[type, Callable] = {
-            StreamOpened: self._open,
-            StreamClosed: self._close,
-            Received: self._receive,
-            RunEnded: self._end_run,
-            EndpointAnnounced: self._announce,
-            EndpointLeft: self._leave,
-            StopRequested: self._stop,
-            Tick: self._tick,
+            StreamOpened: self._handle_stream_opened,
+            StreamClosed: self._handle_stream_closed,
+            Received: self._handle_message,
+            RunEnded: self._handle_run_ended,
+            EndpointAnnounced: self._handle_announcement,
+            EndpointLeft: self._handle_endpoint_left,
+            StopRequested: self._handle_stop,
+            Tick: self._handle_tick,
         }
-        self._receivers: dict[type, Callable] = {
-            Start: self._start,
-            Cancel: self._cancel,
-            Resolve: self._resolve,
-            Want: self._want,
-            Heartbeat: self._hear_heartbeat,
-            Document: self._install,
-            Revisions: self._compare,
-            Drain: self._drain,
-            Recall: self._recall,
-            Peers: self._ignore,
-            Goodbye: self._ignore,
+        self._message_handlers: dict[type, Callable] = {
+            Start: self._handle_start,
+            Cancel: self._handle_cancel,
+            Resolve: self._handle_resolve,
+            Want: self._handle_want,
+            Heartbeat: self._handle_heartbeat,
+            Document: self._install_document,
+            Revisions: self._handle_revisions,
+            Drain: self._handle_drain,
+            Recall: self._handle_recall,
+            Peers: self._ignore_message,
+            Goodbye: self._ignore_message,
         }
 
     def handle(self, event: object, now: float) -> list[Action]:
         """Take one event and return what has to be done."""
         self._now = now
-        self._out = []
+        self._actions = []
         self._handlers[type(event)](event)
-        return self._out
+        return self._actions
 
     @property
     def service(self) -> str:
@@ -169,17 +169,17 @@
 
     # Streams
 
-    def _open(self, event: StreamOpened) -> None:
+    def _handle_stream_opened(self, event: StreamOpened) -> None:
         hello = event.greeting
         if not isinstance(hello, Hello):
-            self._out.append(CloseStream(event.stream, "no hello"))
+            self._actions.append(CloseStream(event.stream, "no hello"))
             return
         if hello.version != PROTOCOL_VERSION:
             self.counts.add("streams_refused", "version")
-            self._out.append(CloseStream(event.stream, "unknown protocol version"))
+            self._actions.append(CloseStream(event.stream, "unknown protocol version"))
             return
         self._streams[event.stream] = EntryStream(event.stream, hello, self._now)
-        self._by_entry[hello.incarnation] = event.stream
+        self._streams_by_incarnation[hello.incarnation] = event.stream
         self._grants.add(event.stream)
         self._send(
             event.stream,
@@ -193,46 +193,46 @@
         )
         self._send(event.stream, self._describe_endpoint())
         self._send(event.stream, self._make_heartbeat(event.stream))
-        self._send(event.stream, Revisions(self._list_held()))
+        self._send(event.stream, Revisions(self._list_revisions()))
         self._send(event.stream, Peers(self.list_entries(), []))
 
-    def _close(self, event: StreamClosed) -> None:
+    def _handle_stream_closed(self, event: StreamClosed) -> None:
         entry = self._streams.pop(event.stream, None)
         if entry is None:
             return
         self._grants.remove(event.stream)
-        if self._by_entry.get(entry.hello.incarnation) == event.stream:
-            del self._by_entry[entry.hello.incarnation]
+        if self._streams_by_incarnation.get(entry.hello.incarnation) == event.stream:
+            del self._streams_by_incarnation[entry.hello.incarnation]
         self._drop_parked(event.stream)
-        self._tell_loads()
+        self._announce_loads()
 
     def _drop_parked(self, stream: int) -> None:
         # An entry that died with starts waiting here has a caller who will
         # submit again; letting the old ones start would run the work twice.
         for parked in self._parking.take_stream(stream):
-            self._fence(parked.stream, parked.start)
+            self._fence_start(parked.stream, parked.start)
             self.counts.add("parked_dropped", "stream_closed")
 
-    def _fence(self, stream: int, start: Start) -> None:
+    def _fence_start(self, stream: int, start: Start) -> None:
         entry = self._streams.get(stream)
         incarnation = entry.hello.incarnation if entry else ""
         self.history.fence(start.key, start.start_by, incarnation)
 
-    def _receive(self, event: Received) -> None:
+    def _handle_message(self, event: Received) -> None:
         entry = self._streams.get(event.stream)
         if entry is None:
             return
         entry.heard_at = self._now
-        receiver = self._receivers.get(type(event.message))
-        if receiver is None:
+        handler = self._message_handlers.get(type(event.message))
+        if handler is None:
             self.counts.add("streams_closed", "unexpected_message")
-            self._out.append(CloseStream(event.stream, "unexpected message"))
+            self._actions.append(CloseStream(event.stream, "unexpected message"))
             return
-        receiver(entry, event.message)
+        handler(entry, event.message)
 
     # Starts
 
-    def _start(self, entry: EntryStream, start: Start) -> None:
+    def _handle_start(self, entry: EntryStream, start: Start) -> None:
         self._grants.record_start(entry.stream)
         record = self.history.find(start.key)
         if record is not None and record.state is not RecordState.FENCED:
@@ -248,15 +248,15 @@
             return
         refusal = self._find_refusal(start)
         if refusal is not None:
-            self._refuse(entry.stream, start, refusal)
+            self._refuse_start(entry.stream, start, refusal)
         elif len(self.running) < self.slots and not self._parking:
-            self._run(entry.stream, start)
+            self._run_task(entry.stream, start)
         elif len(self._parking) < self._parked_limit():
             self._parking.add(entry.stream, start)
             self.counts.add("starts_parked")
         else:
-            self._refuse(entry.stream, start, Refusal.BUSY)
-        self._tell_loads()
+            self._refuse_start(entry.stream, start, Refusal.BUSY)
+        self._announce_loads()
 
     def _answer_duplicate(self, entry: EntryStream, start: Start, attempt: int) -> None:
         self.counts.add("starts_ignored", "duplicate")
@@ -292,14 +292,14 @@
         limit = held.document.endpoint.parked
         return limit if policy.message_weight > 0 else 0
 
-    def _refuse(self, stream: int, start: Start, reason: Refusal) -> None:
+    def _refuse_start(self, stream: int, start: Start, reason: Refusal) -> None:
         self.counts.add("starts_refused", reason)
-        self._fence(stream, start)
-        told = self._grants.announce(stream, self._count_free())
+        self._fence_start(stream, start)
+        free = self._grants.announce(stream, self._count_free())
         seen = self._grants.count_seen(stream)
-        self._send(stream, Refused(start.key, reason, told, seen))
+        self._send(stream, Refused(start.key, reason, free, seen))
 
-    def _run(self, stream: int, start: Start) -> None:
+    def _run_task(self, stream: int, start: Start) -> None:
         entry = self._streams.get(stream)
         incarnation = entry.hello.incarnation if entry else ""
         self.history.record_start(
@@ -307,7 +307,7 @@
         )
         self.running[start.key] = start
         self.counts.add("starts")
-        self._out.append(
+        self._actions.append(
             RunTask(
                 start.key,
                 start.class_name,
@@ -317,7 +317,7 @@
             )
         )
 
-    def _end_run(self, event: RunEnded) -> None:
+    def _handle_run_ended(self, event: RunEnded) -> None:
         start = self.running.pop(event.key, None)
         if start is None:
             return
@@ -327,8 +327,8 @@
         record = self.history.record_end(event, start.request_id)
         self._start_parked()
         if record is not None:
-            self._report(record.entry, event)
-        self._tell_loads()
+            self._send_result(record.entry, event)
+        self._announce_loads()
         self._check_drained()
 
     def _start_parked(self) -> None:
@@ -336,19 +336,19 @@
             parked = self._parking.pop()
             refusal = self._find_refusal(parked.start)
             if refusal is None:
-                self._run(parked.stream, parked.start)
+                self._run_task(parked.stream, parked.start)
             else:
-                self._refuse(parked.stream, parked.start, refusal)
+                self._refuse_start(parked.stream, parked.start, refusal)
 
-    def _report(self, incarnation: str, event: RunEnded) -> None:
-        stream = self._by_entry.get(incarnation)
+    def _send_result(self, incarnation: str, event: RunEnded) -> None:
+        stream = self._streams_by_incarnation.get(incarnation)
         if stream is None:
             # Kept in memory; the entry asks for it on its next stream.
             self.counts.add("answers_held", "no_stream")
             return
         entry = self._streams[stream]
         entry.unacknowledged.append(event.key)
-        told = self._grants.announce(stream, self._count_free())
+        free = self._grants.announce(stream, self._count_free())
         seen = self._grants.count_seen(stream)
         self._send(
             stream,
@@ -359,35 +359,35 @@
                 event.content_type,
                 event.body,
                 event.run_time,
-                told,
+                free,
                 seen,
             ),
         )
 
-    def _cancel(self, entry: EntryStream, cancel: Cancel) -> None:
+    def _handle_cancel(self, entry: EntryStream, cancel: Cancel) -> None:
         parked = self._parking.take(cancel.key)
         if parked is not None:
-            self._refuse(entry.stream, parked.start, Refusal.CANCELLED)
-            self._tell_loads()
+            self._refuse_start(entry.stream, parked.start, Refusal.CANCELLED)
+            self._announce_loads()
             return
         self.counts.add("cancels_late")
 
-    def _resolve(self, entry: EntryStream, question: Resolve) -> None:
+    def _handle_resolve(self, entry: EntryStream, query: Resolve) -> None:
         verdict = Verdict.UNKNOWN
-        if question.incarnation == self.identity.incarnation:
+        if query.incarnation == self.identity.incarnation:
             # A start that waits for a slot hasn't started: take it back, or it
             # would run after the entry was told that it never will.
-            if self._parking.take(question.key) is not None:
-                self._tell_loads()
+            if self._parking.take(query.key) is not None:
+                self._announce_loads()
             verdict = self.history.resolve(
-                question.key, question.start_by, entry.hello.incarnation
+                query.key, query.start_by, entry.hello.incarnation
             )
         self.counts.add("resolved", verdict)
-        self._send(entry.stream, Resolved(question.key, verdict))
+        self._send(entry.stream, Resolved(query.key, verdict))
         if verdict is Verdict.FINISHED:
-            record = self.history.find(question.key)
+            record = self.history.find(query.key)
             if record is not None and record.ending is not None:
-                self._report(entry.hello.incarnation, record.ending)
+                self._send_result(entry.hello.incarnation, record.ending)
 
     # Load
 
@@ -396,12 +396,12 @@
             return 0
         return self.slots - len(self.running) - len(self._parking)
 
-    def _want(self, entry: EntryStream, want: Want) -> None:
+    def _handle_want(self, entry: EntryStream, want: Want) -> None:
         rank = self._now + want.rank_in
         self._grants.set_demand(entry.stream, want.waiting, rank)
-        self._tell_loads()
+        self._announce_loads()
 
-    def _tell_loads(self) -> None:
+    def _announce_loads(self) -> None:
         for stream, allowed in self._grants.list_changes(self._count_free()):
             seen = self._grants.count_seen(stream)
             self.counts.add("loads_told")
@@ -409,24 +409,24 @@
 
     # Endpoint
 
-    def _announce(self, event: EndpointAnnounced) -> None:
+    def _handle_announcement(self, event: EndpointAnnounced) -> None:
         if self._endpoint_lease.handle_announcement(event, self._now):
             self.counts.add("endpoint_announced")
-            self._tell_endpoint()
+            self._announce_endpoint()
         self._start_parked()
-        self._tell_loads()
+        self._announce_loads()
 
-    def _leave(self, event: EndpointLeft) -> None:
+    def _handle_endpoint_left(self, event: EndpointLeft) -> None:
         del event
         self._endpoint_lease.record_departure()
         self._begin_leaving("endpoint")
 
-    def _drain(self, entry: EntryStream, drain: Drain) -> None:
+    def _handle_drain(self, entry: EntryStream, drain: Drain) -> None:
         del entry, drain
         self._endpoint_lease.request_drain()
         self._begin_leaving("operator")
 
-    def _stop(self, event: StopRequested) -> None:
+    def _handle_stop(self, event: StopRequested) -> None:
         del event
         self._endpoint_lease.stopping = True
         self._begin_leaving("stop")
@@ -437,17 +437,17 @@
             return
         self._endpoint_lease.leaving = True
         self.counts.add("leaving", reason)
-        self._tell_endpoint()
+        self._announce_endpoint()
         while self._parking:
             parked = self._parking.pop()
-            self._refuse(parked.stream, parked.start, Refusal.LEAVING)
-        self._tell_loads()
+            self._refuse_start(parked.stream, parked.start, Refusal.LEAVING)
+        self._announce_loads()
 
     def _describe_endpoint(self) -> EndpointState:
         service = "" if self._endpoint_lease.is_lapsed(self._now) else self.service
         return EndpointState(service, self.slots, self.leaving)
 
-    def _tell_endpoint(self) -> None:
+    def _announce_endpoint(self) -> None:
         for stream in self._streams:
             self._send(stream, self._describe_endpoint())
 
@@ -462,25 +462,25 @@
         self._drained = True
         for stream in self._streams:
             self._send(stream, Goodbye("stopping"))
-        self._out.append(Drained())
+        self._actions.append(Drained())
 
     # Configuration
 
-    def _list_held(self) -> list[list[str | int]]:
+    def _list_revisions(self) -> list[list[str | int]]:
         held = self.catalog.list_revisions().items()
         return [[service, revision] for service, revision in held]
 
-    def _install(self, entry: EntryStream, document: Document) -> None:
+    def _install_document(self, entry: EntryStream, document: Document) -> None:
         del entry
         if self.catalog.install(document.service, document.revision, document.text):
             self.counts.add("documents_installed")
-            self._tell_endpoint()
+            self._announce_endpoint()
             for stream in self._streams:
                 self._send(stream, self._make_heartbeat(stream))
             self._start_parked()
-            self._tell_loads()
+            self._announce_loads()
 
-    def _compare(self, entry: EntryStream, revisions: Revisions) -> None:
+    def _handle_revisions(self, entry: EntryStream, revisions: Revisions) -> None:
         theirs = {str(pair[0]): int(pair[1]) for pair in revisions.held}
         for service, held in self.catalog.list_newer(theirs):
             self._send(entry.stream, Document(service, held.revision, held.text))
@@ -488,26 +488,26 @@
     # Heartbeats
 
     def _make_heartbeat(self, stream: int) -> Heartbeat:
-        told = self._grants.announce(stream, self._count_free())
+        free = self._grants.announce(stream, self._count_free())
         return Heartbeat(
             self._now,
             self.catalog.digest,
             0,
             self._failures.measure(self._now),
-            told,
+            free,
             self._grants.count_seen(stream),
         )
 
-    def _hear_heartbeat(self, entry: EntryStream, heartbeat: Heartbeat) -> None:
+    def _handle_heartbeat(self, entry: EntryStream, heartbeat: Heartbeat) -> None:
         done = heartbeat.acknowledged
         while entry.unacknowledged and done > 0:
             self.history.acknowledge(entry.unacknowledged.popleft())
             done -= 1
         if heartbeat.digest != self.catalog.digest:
-            self._send(entry.stream, Revisions(self._list_held()))
+            self._send(entry.stream, Revisions(self._list_revisions()))
         self._check_drained()
 
-    def _recall(self, entry: EntryStream, recall: Recall) -> None:
+    def _handle_recall(self, entry: EntryStream, recall: Recall) -> None:
         verdict, ending = self.history.recall(recall.request_id)
         if ending is None:
             ending = RunEnded(TaskKey("", 0, 0), "", 0, "", b"", 0.0)
@@ -524,17 +524,17 @@
             ),
         )
 
-    def _tick(self, event: Tick) -> None:
+    def _handle_tick(self, event: Tick) -> None:
         del event
         if self._endpoint_lease.end_if_lapsed(self._now):
             self.counts.add("endpoint_lapsed")
-            self._tell_endpoint()
-            self._tell_loads()
+            self._announce_endpoint()
+            self._announce_loads()
         for entry in list(self._streams.values()):
             if self._now - entry.heard_at > self.timing.silence:
                 self.counts.add("streams_closed", "silence")
-                self._out.append(CloseStream(entry.stream, "silence"))
-                self._close(StreamClosed(entry.stream))
+                self._actions.append(CloseStream(entry.stream, "silence"))
+                self._handle_stream_closed(StreamClosed(entry.stream))
         if self._now >= self._next_heartbeat:
             self._next_heartbeat = self._now + self.timing.heartbeat
             self.history.expire(self._now)
@@ -542,8 +542,8 @@
                 self._send(stream, self._make_heartbeat(stream))
         self._check_drained()
 
-    def _ignore(self, entry: EntryStream, message: Message) -> None:
+    def _ignore_message(self, entry: EntryStream, message: Message) -> None:
         del entry, message
 
     def _send(self, stream: int, message: Message) -> None:
-        self._out.append(Send(stream, message))
+        self._actions.append(Send(stream, message))
--- a/src/godwitbank/_internal/core/announcements.py
+++ b/src/godwitbank/_internal/core/announcements.py
@@ -14,7 +14,7 @@
     def __init__(self, balancer: str) -> None:
         self._balancer = balancer
         self._known: set[str] = set()
-        self._balancer_at = float("-inf")
+        self._balancer_queried_at = float("-inf")
 
     def add_entries(self, entries: list[str]) -> None:
         """Note the entries another process named."""
@@ -27,8 +27,8 @@
     def choose_targets(self, connected: list[str], now: float) -> list[str]:
         """Choose the addresses to announce to now."""
         targets = sorted(self._known.difference(connected))
-        due = now - self._balancer_at >= BALANCER_PERIOD_SECONDS
+        due = now - self._balancer_queried_at >= BALANCER_PERIOD_SECONDS
         if due or not connected:
-            self._balancer_at = now
+            self._balancer_queried_at = now
             targets.append(self._balancer)
         return targets
--- a/src/godwitbank/_internal/core/catalog.py
+++ b/src/godwitbank/_internal/core/catalog.py
@@ -20,7 +20,7 @@
     """Documents in force, by service."""
 
     def __init__(self) -> None:
-        self._held: dict[str, InstalledDocument] = {}
+        self._installed: dict[str, InstalledDocument] = {}
         self.digest = 0
 
     def install(self, service: str, revision: int, text: str) -> bool:
@@ -32,34 +32,37 @@
 
         :return: whether the document is now in force and was not before.
         """
-        held = self._held.get(service)
-        if held is not None and held.revision >= revision:
+        installed = self._installed.get(service)
+        if installed is not None and installed.revision >= revision:
             return False
         parsed = ServiceDocument.from_text(text)
         if not isinstance(parsed, Success):
             # Only checked documents are accepted, so this one was written by a
             # newer version; keep the one that is understood.
             return False
-        self._held[service] = InstalledDocument(revision, text, parsed.unwrap())
-        self.digest = self._sum_up()
+        self._installed[service] = InstalledDocument(revision, text, parsed.unwrap())
+        self.digest = self._compute_digest()
         return True
 
     def find(self, service: str) -> InstalledDocument | None:
         """Find the document in force for a service."""
-        return self._held.get(service)
+        return self._installed.get(service)
 
     def list_revisions(self) -> dict[str, int]:
         """List the revision in force for each service."""
-        return {service: held.revision for service, held in self._held.items()}
+        return {
+            service: installed.revision
+            for service, installed in self._installed.items()
+        }
 
     def list_newer(self, than: dict[str, int]) -> list[tuple[str, InstalledDocument]]:
         """List what is newer here than in another process."""
         return [
-            (service, held)
-            for service, held in self._held.items()
-            if held.revision > than.get(service, 0)
+            (service, installed)
+            for service, installed in self._installed.items()
+            if installed.revision > than.get(service, 0)
         ]
 
-    def _sum_up(self) -> int:
+    def _compute_digest(self) -> int:
         pairs = sorted(self.list_revisions().items())
         return crc32(repr(pairs).encode())
--- a/src/godwitbank/_internal/core/claims.py
+++ b/src/godwitbank/_internal/core/claims.py
@@ -51,7 +51,7 @@
         self._waiting: OrderedDict[str, Claim] = OrderedDict()
         self._batch: Batch | None = None
         self._retry_at = 0.0
-        self._next_at = 0.0
+        self._next_write_at = 0.0
         self._number = 0
         self._failures = 0
         self._held: OrderedDict[str, str] = OrderedDict()
@@ -64,7 +64,7 @@
     def request(self, key: str, token: str, now: float) -> None:
         """Queue a claim; the key is held here from now on."""
         self._waiting[key] = Claim(key, token, now)
-        self._remember(self._held, key, token)
+        self._remember_token(self._held, key, token)
 
     def next_batch(self, now: float, entries: int) -> Batch | None:
         """Take the batch to write now, if any.
@@ -77,9 +77,9 @@
                 self._retry_at = 0.0
                 return self._batch
             return None
-        if not self._waiting or now < self._next_at:
+        if not self._waiting or now < self._next_write_at:
             return None
-        self._next_at = now + entries / WRITES_PER_SECOND
+        self._next_write_at = now + entries / WRITES_PER_SECOND
         keys = list(self._waiting)[:MAX_BATCH_CLAIMS]
         claims = {key: self._waiting.pop(key).token for key in keys}
         supersedes = {
@@ -121,7 +121,7 @@
             del self._waiting[key]
         if self._held.get(key) == token:
             del self._held[key]
-            self._remember(self._abandoned, key, token)
+            self._remember_token(self._abandoned, key, token)
 
     @property
     def failing(self) -> bool:
@@ -133,11 +133,11 @@
         """Time at which a batch may next go out, or infinity."""
         if self._batch is not None:
             return self._retry_at or float("inf")
-        return self._next_at if self._waiting else float("inf")
+        return self._next_write_at if self._waiting else float("inf")
 
     @staticmethod
-    def _remember(where: OrderedDict[str, str], key: str, token: str) -> None:
-        where[key] = token
-        where.move_to_end(key)
-        if len(where) > MAX_REMEMBERED_TOKENS:
-            where.popitem(last=False)
+    def _remember_token(tokens: OrderedDict[str, str], key: str, token: str) -> None:
+        tokens[key] = token
+        tokens.move_to_end(key)
+        if len(tokens) > MAX_REMEMBERED_TOKENS:
+            tokens.popitem(last=False)
--- a/src/godwitbank/_internal/core/dispatch.py
+++ b/src/godwitbank/_internal/core/dispatch.py
@@ -50,7 +50,7 @@
 RETRY_AFTER_SECONDS = 1.0
 """Seconds after which a caller may ask again when nothing better is known."""
 
-_ENDINGS = {
+_REASONS_BY_ENDING = {
     Ending.ENDPOINT_FAILED: Reason.ENDPOINT_FAILED,
     Ending.TIMED_OUT: Reason.TASK_TIMEOUT,
 }
@@ -73,13 +73,13 @@
         self._rng = rng
         self._zone = zone
         self._deadlines: list[tuple[float, str]] = []
-        self._out: Callable[[Action], None] = lambda action: None
+        self._emit: Callable[[Action], None] = lambda action: None
         self._now = 0.0
 
-    def begin_event(self, now: float, out: Callable[[Action], None]) -> None:
+    def begin_event(self, now: float, emit: Callable[[Action], None]) -> None:
         """Set the time and the sink of actions for the event being handled."""
         self._now = now
-        self._out = out
+        self._emit = emit
 
     @property
     def next_wakeup(self) -> float:
@@ -132,7 +132,7 @@
                 # An earlier task failed the job on its way in; what is queued
                 # now would run for nobody.
                 break
-            self._enter(service, task)
+            self._queue_or_claim(service, task)
         self._write_claims()
         self.dispatch(service)
 
@@ -140,14 +140,14 @@
         self, submission: str, reason: Reason, detail: str, retry_after: float | None
     ) -> None:
         self._counts.add("submissions_refused", reason)
-        self._out(Reply(Failed(submission, reason, Ran.NOT_RUN, detail, retry_after)))
+        self._emit(Reply(Failed(submission, reason, Ran.NOT_RUN, detail, retry_after)))
 
     @staticmethod
     def _needs_claim(service: Service, submission: Submission) -> bool:
         classes = service.document.classes
         return any(not classes[task.class_name].idempotent for task in submission.tasks)
 
-    def _enter(self, service: Service, task: Task) -> None:
+    def _queue_or_claim(self, service: Service, task: Task) -> None:
         table = service.document.classes[task.spec.class_name]
         if table.idempotent:
             service.queue.add(task)
@@ -166,7 +166,7 @@
         batch = self.claims.next_batch(self._now, self.entries)
         if batch is not None:
             self._counts.add("claim_writes")
-            self._out(WriteClaims(*batch))
+            self._emit(WriteClaims(*batch))
 
     def resolve_claims(self, event: ClaimsWritten) -> None:
         """Queue the tasks whose claim was won; ask about the others."""
@@ -175,7 +175,7 @@
             job = self.jobs.get(submission)
             task = job.tasks[int(index)] if job else None
             if task is None or task.state is not TaskState.CLAIMING:
-                self._release_late(event, token, won)
+                self._release_late_claim(event, token, won)
                 continue
             service = self.services[task.job.service]
             if won:
@@ -186,11 +186,11 @@
                 self._recall(task)
         self._write_claims()
 
-    def _release_late(self, event: ClaimsWritten, token: str, won: bool) -> None:
+    def _release_late_claim(self, event: ClaimsWritten, token: str, won: bool) -> None:
         # The write took effect after its task had been given up as not run;
         # without this the request id could never be used again.
         if won and token in event.written:
-            self._out(ReleaseClaims({event.written[token]: token}))
+            self._emit(ReleaseClaims({event.written[token]: token}))
 
     def handle_claims_failure(self, event: ClaimsFailed) -> None:
         """Give up what waits for a table that doesn't answer."""
@@ -201,7 +201,9 @@
         for job in list(self.jobs.values()):
             if any(task.state is TaskState.CLAIMING for task in job.tasks):
                 detail = "request ids can't be claimed while the table is down"
-                self._fail(job, Reason.STORE_UNAVAILABLE, detail, RETRY_AFTER_SECONDS)
+                self._fail_job(
+                    job, Reason.STORE_UNAVAILABLE, detail, RETRY_AFTER_SECONDS
+                )
 
     def _recall(self, task: Task) -> None:
         task.state = TaskState.RECALLING
@@ -212,29 +214,29 @@
         deadline = self._recalls.request(key, task, len(streams), self._now)
         heapq.heappush(self._deadlines, (deadline, task.job.submission))
         for stream in streams:
-            self._out(Send(stream, Recall(task.job.service, task.spec.request_id)))
+            self._emit(Send(stream, Recall(task.job.service, task.spec.request_id)))
         if not streams:
-            self._give_up_recall(task, running=False)
+            self._fail_as_duplicate(task, running=False)
 
     def handle_recalled(self, recalled: Recalled) -> None:
         """Use an agent's memory of a request that was claimed before."""
         key = make_claim_key(recalled.service, recalled.request_id)
-        for task, running, settled in self._recalls.handle_answer(
+        for task, running, resolved in self._recalls.handle_answer(
             key, recalled.verdict
         ):
             if task.state is not TaskState.RECALLING:
                 continue
             if recalled.verdict == Verdict.FINISHED:
                 self._counts.add("answers_replayed")
-                self._end(task, recalled)
-            elif settled:
-                self._give_up_recall(task, running)
+                self._finish_task(task, recalled)
+            elif resolved:
+                self._fail_as_duplicate(task, running)
 
-    def _give_up_recall(self, task: Task, running: bool) -> None:
+    def _fail_as_duplicate(self, task: Task, running: bool) -> None:
         detail = f"request id {task.spec.request_id!r} was submitted before"
         detail += " and is still running" if running else ""
         after = RETRY_AFTER_SECONDS if running else None
-        self._fail(task.job, Reason.DUPLICATE_REQUEST, detail, after, task, True)
+        self._fail_job(task.job, Reason.DUPLICATE_REQUEST, detail, after, task, True)
 
     # Starts
 
@@ -270,7 +272,7 @@
         task.job.started += 1
         self._counts.add("starts_sent")
         request_id = "" if table.idempotent else task.spec.request_id
-        self._out(
+        self._emit(
             Send(
                 view.stream or 0,
                 Start(
@@ -298,11 +300,11 @@
             ):
                 view.demand.record(waiting, rank, self._now)
                 self._counts.add("wants_sent")
-                self._out(Send(view.stream, Want(waiting, rank - self._now)))
+                self._emit(Send(view.stream, Want(waiting, rank - self._now)))
 
     # Answers
 
-    def _take_sent(
+    def _pop_outstanding(
         self, view: AgentView, message: Finished | Refused
     ) -> OutstandingStart | None:
         view.update_free_slots(message.free, message.seen)
@@ -311,7 +313,7 @@
     def handle_finished(self, view: AgentView, message: Finished) -> None:
         """Join an answer to its job."""
         view.acknowledged += 1
-        sent = self._take_sent(view, message)
+        sent = self._pop_outstanding(view, message)
         service = self.services.get(view.service)
         if sent is None:
             # Repeated, or of a task already given up: never joined to anything.
@@ -319,12 +321,12 @@
         elif sent.task.key != message.key or sent.task.state is not TaskState.SENT:
             self._counts.add("answers_dropped", "late")
         else:
-            self._judge(view, sent, message)
-            self._end(sent.task, message)
+            self._update_health(view, sent, message)
+            self._finish_task(sent.task, message)
         if service is not None:
             self.dispatch(service)
 
-    def _judge(
+    def _update_health(
         self, view: AgentView, sent: OutstandingStart, message: Finished
     ) -> None:
         service = self.services[sent.task.job.service]
@@ -353,23 +355,25 @@
             self._counts.add("ejected", reason)
             ejection.eject(view, self._now)
 
-    def _end(self, task: Task, message: Finished | Recalled) -> None:
+    def _finish_task(self, task: Task, message: Finished | Recalled) -> None:
         job = task.job
         if message.ending != Ending.ANSWERED:
-            reason = _ENDINGS.get(Ending(message.ending), Reason.ENDPOINT_FAILED)
+            reason = _REASONS_BY_ENDING.get(
+                Ending(message.ending), Reason.ENDPOINT_FAILED
+            )
             detail = message.body.decode(errors="replace")[:200]
-            self._fail(job, reason, detail, None, task, True)
+            self._fail_job(job, reason, detail, None, task, True)
             return
         answer = TaskAnswer(message.status, message.content_type, message.body)
         if job.add_answer(task, answer):
             answers = tuple(each for each in job.answers if each is not None)
             del self.jobs[job.submission]
             self._counts.add("submissions_completed")
-            self._out(Reply(Complete(job.submission, answers)))
+            self._emit(Reply(Complete(job.submission, answers)))
 
     def handle_refused(self, view: AgentView, message: Refused) -> None:
         """Queue a task again that its agent did not start."""
-        sent = self._take_sent(view, message)
+        sent = self._pop_outstanding(view, message)
         self._counts.add("starts_returned", message.reason)
         if sent is None or sent.task.key != message.key:
             return
@@ -388,7 +392,9 @@
         service.queue.add(task, front=True)
         if task.refusals > service.document.classes[task.spec.class_name].retries:
             detail = f"agents refused the task {task.refusals} times"
-            self._fail(job, Reason.RETRIES_EXHAUSTED, detail, RETRY_AFTER_SECONDS, task)
+            self._fail_job(
+                job, Reason.RETRIES_EXHAUSTED, detail, RETRY_AFTER_SECONDS, task
+            )
             return
         self.dispatch(service)
 
@@ -409,11 +415,17 @@
         """Give up a task whose outcome can't be learnt."""
         if sent.task.state is TaskState.SENT:
             self._counts.add("tasks_lost")
-            self._fail(sent.task.job, Reason.OUTCOME_UNKNOWN, detail, None, sent.task)
+            self._fail_job(
+                sent.task.job,
+                Reason.OUTCOME_UNKNOWN,
+                detail,
+                None,
+                sent.task,
+            )
 
     # Failures
 
-    def _fail(
+    def _fail_job(
         self,
         job: Job,
         reason: Reason,
@@ -429,14 +441,14 @@
         ran = Ran.MAY_HAVE_RUN if job.started or has_run else Ran.NOT_RUN
         ran = Ran.MAY_HAVE_RUN if job.unanswered < len(job.tasks) else ran
         self._counts.add("submissions_failed", reason)
-        self._release(job)
+        self._release_claims(job)
         index = task.index if task else None
         failed = Failed(job.submission, reason, ran, detail, retry_after, index)
-        self._out(Reply(failed))
+        self._emit(Reply(failed))
         self._cancel_sent(service, job)
         self._tell_wants(service)
 
-    def _release(self, job: Job) -> None:
+    def _release_claims(self, job: Job) -> None:
         claims = {}
         for task in job.tasks:
             unstarted = task.state in (TaskState.DROPPED, TaskState.CLAIMING)
@@ -447,7 +459,7 @@
                 task.state = TaskState.DROPPED
         if claims:
             self._counts.add("claims_released", amount=len(claims))
-            self._out(ReleaseClaims(claims))
+            self._emit(ReleaseClaims(claims))
 
     def _cancel_sent(self, service: Service, job: Job) -> None:
         policy = service.document.policy
@@ -463,13 +475,13 @@
             for key in sent & view.outstanding.keys():
                 if view.stream is not None:
                     self._counts.add("cancels_sent")
-                    self._out(Send(view.stream, Cancel(key)))
+                    self._emit(Send(view.stream, Cancel(key)))
 
     def cancel(self, submission: str) -> None:
         """Drop what hasn't started of a submission whose caller left."""
         job = self.jobs.get(submission)
         if job is not None:
-            self._fail(job, Reason.CANCELLED, "the caller hung up", None)
+            self._fail_job(job, Reason.CANCELLED, "the caller hung up", None)
 
     def check_timers(self) -> None:
         """Act on deadlines, retries and services without agents."""
@@ -480,17 +492,17 @@
                 self._check_deadline(job)
         self._write_claims()
         for service in self.services.values():
-            self._check_deserted(service)
+            self._check_agents(service)
 
     def _check_deadline(self, job: Job) -> None:
         if job.deadline <= self._now:
             detail = "no answer before the deadline"
-            self._fail(job, Reason.DEADLINE_PASSED, detail, RETRY_AFTER_SECONDS)
+            self._fail_job(job, Reason.DEADLINE_PASSED, detail, RETRY_AFTER_SECONDS)
             return
         for task in self._recalls.take_expired(job, self._now):
-            self._give_up_recall(task, running=False)
+            self._fail_as_duplicate(task, running=False)
 
-    def _check_deserted(self, service: Service) -> None:
+    def _check_agents(self, service: Service) -> None:
         if service.pool.count_usable(self._now) or not service.queue.waiting:
             service.without_agents_since = None
             return
@@ -502,7 +514,7 @@
             waits = any(task.state is TaskState.WAITING for task in job.tasks)
             if waits and self.services[job.service] is service:
                 detail = "every endpoint of the service is gone"
-                self._fail(job, Reason.NO_ENDPOINT, detail, RETRY_AFTER_SECONDS)
+                self._fail_job(job, Reason.NO_ENDPOINT, detail, RETRY_AFTER_SECONDS)
 
 
 SLOW_PROBE_FACTOR = 4.0
--- a/src/godwitbank/_internal/core/ejection.py
+++ b/src/godwitbank/_internal/core/ejection.py
@@ -38,17 +38,17 @@
     slow = view.runs >= MIN_RUNS and view.slowness > SUSPECT_LOG_RATIO
     if view.ejected_until > 0 or (rate < MIN_FAILURE_RATE and not slow):
         return None
-    peers = [each for each in pool.views if each is not view and each.service]
+    peers = [peer for peer in pool.views if peer is not view and peer.service]
     if not peers:
         return None
-    ejected = sum(each.ejected_until > 0 for each in peers)
+    ejected = sum(peer.ejected_until > 0 for peer in peers)
     if (ejected + 1) > max(MAX_EJECTED_SHARE * (len(peers) + 1), 1):
         return None
-    peer_rate = median(measure_failure_rate(each, now) for each in peers)
+    peer_rate = median(measure_failure_rate(peer, now) for peer in peers)
     if rate >= MIN_FAILURE_RATE and rate > PEER_RATE_FACTOR * peer_rate:
         return "failing"
     if slow:
-        peer_slowness = median(each.slowness for each in peers)
+        peer_slowness = median(peer.slowness for peer in peers)
         if view.slowness - peer_slowness > SLOW_LOG_RATIO:
             return "slow"
     return None
@@ -61,8 +61,8 @@
 
 def eject(view: AgentView, now: float) -> None:
     """Take an agent out of rotation."""
-    length = min(FIRST_EJECTION_SECONDS * 2**view.ejections, MAX_EJECTION_SECONDS)
-    view.ejected_until = now + length
+    seconds = min(FIRST_EJECTION_SECONDS * 2**view.ejections, MAX_EJECTION_SECONDS)
+    view.ejected_until = now + seconds
     view.ejections += 1
     view.probing = True
 
--- a/src/godwitbank/_internal/core/endpoint_lease.py
+++ b/src/godwitbank/_internal/core/endpoint_lease.py
@@ -14,7 +14,7 @@
         self._lease_until = now
         self._instance = ""
         self._left_instance = ""
-        self._drain_asked = False
+        self._drain_requested = False
 
     def handle_announcement(self, event: EndpointAnnounced, now: float) -> bool:
         """Take an announcement or renewal.
@@ -26,7 +26,7 @@
             return False
         if self._left_instance:
             self._left_instance = ""
-            self.leaving = self._drain_asked or self.stopping
+            self.leaving = self._drain_requested or self.stopping
             self.service = ""
         lapsed = self.is_lapsed(now)
         changed = lapsed or (event.service, event.slots) != (self.service, self.slots)
@@ -61,4 +61,4 @@
 
     def request_drain(self) -> None:
         """Note an operator's wish, which outlives the endpoint's instance."""
-        self._drain_asked = True
+        self._drain_requested = True
--- a/src/godwitbank/_internal/core/membership.py
+++ b/src/godwitbank/_internal/core/membership.py
@@ -33,14 +33,14 @@
         self._identity = identity
         self._balancer = balancer
         self._counts = counts
-        self._next_search = now
-        self._out: Callable[[Action], None] = lambda action: None
+        self._next_discovery = now
+        self._emit: Callable[[Action], None] = lambda action: None
         self._now = now
 
-    def begin_event(self, now: float, out: Callable[[Action], None]) -> None:
+    def begin_event(self, now: float, emit: Callable[[Action], None]) -> None:
         """Set the time and the sink of actions for the event being handled."""
         self._now = now
-        self._out = out
+        self._emit = emit
 
     def is_balancer(self, address: str) -> bool:
         """Tell whether an address is the balancer's and not a process's."""
@@ -87,7 +87,7 @@
     def _dial(self, view: AgentView | PeerView) -> None:
         if view.stream is None and not view.dialling and view.dial_at <= self._now:
             view.dialling = True
-            self._out(Dial(view.address))
+            self._emit(Dial(view.address))
 
     def record_failed_dial(self, address: str) -> None:
         """Wait longer before the next dial to an address."""
@@ -101,13 +101,13 @@
         Once one is connected the rest follow from it, so a rare look is enough
         to heal a split.
         """
-        if not self._balancer or self._now < self._next_search:
+        if not self._balancer or self._now < self._next_discovery:
             return
         alone = not any(peer.stream for peer in self.peers.values())
-        self._next_search = self._now + (
+        self._next_discovery = self._now + (
             DISCOVERY_ALONE_SECONDS if alone else DISCOVERY_SECONDS
         )
-        self._out(Dial(self._balancer))
+        self._emit(Dial(self._balancer))
 
     def forget_peers(self) -> None:
         """Forget entries that have been silent for long."""
--- a/src/godwitbank/_internal/core/pressure.py
+++ b/src/godwitbank/_internal/core/pressure.py
@@ -84,14 +84,14 @@
         self.lag = min(
             each.lag for each in self._samples if now - each.at <= LAG_WINDOW_SECONDS
         )
-        was_behind = self.overloaded
-        limit = RECOVERED_LAG_SECONDS if was_behind else OVERLOADED_LAG_SECONDS
-        self.overloaded = self._measure_standing() >= limit
-        if self.overloaded == was_behind:
+        was_overloaded = self.overloaded
+        limit = RECOVERED_LAG_SECONDS if was_overloaded else OVERLOADED_LAG_SECONDS
+        self.overloaded = self._measure_sustained_lag() >= limit
+        if self.overloaded == was_overloaded:
             return None
-        return self._describe(now)
+        return self._make_change(now)
 
-    def _measure_standing(self) -> float:
+    def _measure_sustained_lag(self) -> float:
         least = min(each.lag for each in self._samples)
         return (
             self.lag
@@ -99,7 +99,7 @@
             else self.lag - THROTTLING_PERIOD_SECONDS
         )
 
-    def _describe(self, now: float) -> PressureChange:
+    def _make_change(self, now: float) -> PressureChange:
         lag = round(self.lag, 3)
         if self.overloaded:
             self.overloaded_since = now
--- a/src/godwitbank/_internal/core/queue.py
+++ b/src/godwitbank/_internal/core/queue.py
@@ -82,13 +82,13 @@
         """Take the task that ``peek`` found."""
         batch = self._heap[0]
         batch.tasks.popleft()
-        self._uncount(task)
+        self._decrement_counts(task)
 
     def drop(self, task: Task) -> None:
         """Count a waiting task out; it is skipped when its turn comes."""
-        self._uncount(task)
+        self._decrement_counts(task)
 
-    def _uncount(self, task: Task) -> None:
+    def _decrement_counts(self, task: Task) -> None:
         submission = task.job.submission
         batch = self._batches[submission]
         batch.live -= 1
--- a/src/godwitbank/_internal/core/quota.py
+++ b/src/godwitbank/_internal/core/quota.py
@@ -30,7 +30,7 @@
         self.burst = burst
         self.demand = 0.0
         self._tokens = rate * burst
-        self._updated = now
+        self._refilled_at = now
         self._demand_at = now
         self._peers: dict[str, PeerDemand] = {}
 
@@ -60,19 +60,19 @@
 
         :return: 0 when admitted, else seconds after which to come back.
         """
-        self._note_demand(starts, now)
+        self._record_demand(starts, now)
         if self.rate <= 0:
             return 0.0
         rate = self.rate * self.measure_share(now)
-        earned = (now - self._updated) * rate
+        earned = (now - self._refilled_at) * rate
         self._tokens = min(self._tokens + earned, rate * self.burst)
-        self._updated = now
+        self._refilled_at = now
         if self._tokens <= 0:
             return max((1.0 - self._tokens) / rate, 0.05)
         self._tokens -= starts
         return 0.0
 
-    def _note_demand(self, starts: int, now: float) -> None:
+    def _record_demand(self, starts: int, now: float) -> None:
         decay = 0.5 ** ((now - self._demand_at) / DEMAND_HALF_LIFE_SECONDS)
         self.demand = self.demand * decay + starts / (DEMAND_HALF_LIFE_SECONDS / 0.6931)
         self._demand_at = now
--- a/src/godwitbank/_internal/core/recalls.py
+++ b/src/godwitbank/_internal/core/recalls.py
@@ -15,9 +15,9 @@
 
     __slots__ = ("task", "unanswered", "running", "expires")
 
-    def __init__(self, task: Task, asked: int, expires: float) -> None:
+    def __init__(self, task: Task, agent_count: int, expires: float) -> None:
         self.task = task
-        self.unanswered = asked
+        self.unanswered = agent_count
         self.running = False
         self.expires = expires
 
@@ -37,37 +37,37 @@
     """Open questions by claim key."""
 
     def __init__(self) -> None:
-        self._open: dict[str, list[PendingRecall]] = {}
+        self._pending: dict[str, list[PendingRecall]] = {}
 
-    def request(self, key: str, task: Task, asked: int, now: float) -> float:
+    def request(self, key: str, task: Task, agent_count: int, now: float) -> float:
         """Open a question; returns the time at which it expires."""
-        question = PendingRecall(task, asked, now + ANSWER_TIMEOUT_SECONDS)
-        self._open.setdefault(key, []).append(question)
-        return question.expires
+        recall = PendingRecall(task, agent_count, now + ANSWER_TIMEOUT_SECONDS)
+        self._pending.setdefault(key, []).append(recall)
+        return recall.expires
 
     def handle_answer(self, key: str, verdict: str) -> Iterator[RecallProgress]:
         """Count one agent's answer for every task that asked."""
-        for question in self._open.pop(key, []):
-            question.unanswered -= 1
-            question.running = question.running or verdict == Verdict.RUNNING
-            settled = question.unanswered <= 0
-            if not settled and verdict != Verdict.FINISHED:
-                self._open.setdefault(key, []).append(question)
-            yield RecallProgress(question.task, question.running, settled)
+        for recall in self._pending.pop(key, []):
+            recall.unanswered -= 1
+            recall.running = recall.running or verdict == Verdict.RUNNING
+            resolved = recall.unanswered <= 0
+            if not resolved and verdict != Verdict.FINISHED:
+                self._pending.setdefault(key, []).append(recall)
+            yield RecallProgress(recall.task, recall.running, resolved)
 
     def take_expired(self, job: Job, now: float) -> list[Task]:
         """Close a job's questions that agents did not answer in time."""
         expired = []
-        for key in list(self._open):
-            kept = []
-            for question in self._open[key]:
-                over = question.expires <= now and question.task.job is job
-                if over and question.task.state is TaskState.RECALLING:
-                    expired.append(question.task)
-                elif question.task.state is TaskState.RECALLING:
-                    kept.append(question)
-            if kept:
-                self._open[key] = kept
+        for key in list(self._pending):
+            open_recalls = []
+            for recall in self._pending[key]:
+                has_expired = recall.expires <= now and recall.task.job is job
+                if has_expired and recall.task.state is TaskState.RECALLING:
+                    expired.append(recall.task)
+                elif recall.task.state is TaskState.RECALLING:
+                    open_recalls.append(recall)
+            if open_recalls:
+                self._pending[key] = open_recalls
             else:
-                del self._open[key]
+                del self._pending[key]
         return expired
--- a/src/godwitbank/_internal/core/service.py
+++ b/src/godwitbank/_internal/core/service.py
@@ -41,7 +41,12 @@
     """State of one service at one entry."""
 
     def __init__(
-        self, held: InstalledDocument, rng: Random, zone: str, window: float, now: float
+        self,
+        installed: InstalledDocument,
+        rng: Random,
+        zone: str,
+        window: float,
+        now: float,
     ) -> None:
         self.queue = ServiceQueue()
         self.pool = Pool(rng, zone, window)
@@ -49,17 +54,17 @@
         self.peer_backlogs: dict[str, PeerBacklog] = {}
         self.announced_demand = AnnouncedDemand()
         self.without_agents_since: float | None = None
-        quota = held.document.quota
+        quota = installed.document.quota
         self.quota = Quota(quota.starts_per_second, quota.burst, now)
-        self.document: ServiceDocument = held.document
-        self.configure(held)
+        self.document: ServiceDocument = installed.document
+        self.configure(installed)
 
-    def configure(self, held: InstalledDocument) -> None:
+    def configure(self, installed: InstalledDocument) -> None:
         """Put a document in force."""
-        self.document = held.document
-        quota = held.document.quota
+        self.document = installed.document
+        quota = installed.document.quota
         self.quota.configure(quota.starts_per_second, quota.burst)
-        for name, table in held.document.classes.items():
+        for name, table in installed.document.classes.items():
             if name not in self.statistics:
                 self.statistics[name] = ClassStatistics(table)
             self.queue.set_class(name, table.weight, self.statistics[name].mean)
@@ -104,19 +109,19 @@
         refusal = self._check_tasks(submission)
         if refusal is not None:
             return refusal
-        if self.pool.count_usable(now) == 0 and self._is_deserted(now):
+        if self.pool.count_usable(now) == 0 and self._has_no_lost_agent(now):
             return Refusal(Reason.NO_ENDPOINT, "no endpoint announced itself", 2.0)
         refusal = self._check_bounds(submission)
         if refusal is not None:
             return refusal
         ideal = self.estimate_ideal(submission, now)
         wait = self.estimate_wait(self.compute_rank(submission, now), now)
-        left = submission.deadline - now
-        if wait > 0 and wait + ideal > left * USABLE_DEADLINE_SHARE:
+        remaining = submission.deadline - now
+        if wait > 0 and wait + ideal > remaining * USABLE_DEADLINE_SHARE:
             return Refusal(
                 Reason.DEADLINE_UNREACHABLE,
                 f"{wait:.1f} s of work wait before it",
-                max(wait + ideal - left * USABLE_DEADLINE_SHARE, 0.1),
+                max(wait + ideal - remaining * USABLE_DEADLINE_SHARE, 0.1),
             )
         delay = self.quota.take_tokens(len(submission.tasks), now)
         if delay > 0:
@@ -146,7 +151,7 @@
                 )
         return None
 
-    def _is_deserted(self, now: float) -> bool:
+    def _has_no_lost_agent(self, now: float) -> bool:
         return not any(view.lost_at is not None for view in self.pool.views)
 
     def drop_waiting(self, tasks: list) -> None:
--- a/src/godwitbank/_internal/core/task_history.py
+++ b/src/godwitbank/_internal/core/task_history.py
@@ -74,7 +74,7 @@
         self._request_bytes = 0
         self._retention = retention
         self._max_records = max_records
-        self._forgotten = float("-inf")
+        self._watermark = float("-inf")
 
     def __len__(self) -> int:
         return len(self._records)
@@ -139,7 +139,7 @@
         """Say what became of a start, fencing it if it never arrived."""
         record = self.find(key)
         if record is None:
-            if start_by <= self._forgotten:
+            if start_by <= self._watermark:
                 return Verdict.UNKNOWN
             self.fence(key, start_by, entry)
             return Verdict.FENCED
@@ -180,7 +180,7 @@
                     break
                 continue
             del self._records[name]
-            self._forgotten = max(self._forgotten, record.start_by)
+            self._watermark = max(self._watermark, record.start_by)
         while self._requests:
             request_id = next(iter(self._requests))
             old = self._request_times[request_id] + REQUEST_RETENTION_SECONDS < now
--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -35,7 +35,7 @@
     Break(
         "restarted agent vouches for its predecessor",
         f"{CORE}/entry.py",
-        "            self._lose_outstanding(view, "
+        "            self._mark_outstanding_unknown(view, "
         + '"the agent was restarted")\n        self._send(',
         "            for sent in [*view.outstanding.values()]:\n"
         "                self.dispatcher._requeue(sent.task)\n        self._send(",
@@ -145,8 +145,8 @@
     Break(
         "lower revision accepted",
         f"{CORE}/catalog.py",
-        "held.revision >= revision",
-        "held.revision == revision",
+        "installed.revision >= revision",
+        "installed.revision == revision",
         "tests/core/test_exploration.py::TestExploration",
     ),
     Break(
@@ -166,8 +166,9 @@
     Break(
         "booting entry asks the table only",
         f"{CORE}/entry.py",
-        "        self._informed = True\n"
-        "        self._install(document.service, document.revision, document.text)",
+        "        self._has_contact = True\n"
+        "        self._install_document("
+        "document.service, document.revision, document.text)",
         "        pass",
         f"{FAILURES}/test_configuration.py::test_boot_in_an_outage_learns_from_others",
     ),
@@ -442,7 +443,7 @@
     Break(
         "no process is ever behind",
         f"{CORE}/pressure.py",
-        "self.overloaded = self._measure_standing() >= limit",
+        "self.overloaded = self._measure_sustained_lag() >= limit",
         "self.overloaded = False",
         f"{RUNS}/test_behind.py::"
         "test_callers_are_refused_at_once_while_no_entry_has_processor_time",
--- a/tests/core/test_exploration.py
+++ b/tests/core/test_exploration.py
@@ -241,16 +241,16 @@
 
 
 def _ignore_incarnation(monkeypatch: pytest.MonkeyPatch) -> None:
-    resolve = AgentCore._resolve
+    resolve = AgentCore._handle_resolve
 
     def trust(self: AgentCore, entry: object, question: object) -> None:
         named = question._replace(incarnation=self.identity.incarnation)
         resolve(self, entry, named)
 
-    monkeypatch.setattr(AgentCore, "_resolve", trust)
+    monkeypatch.setattr(AgentCore, "_handle_resolve", trust)
     monkeypatch.setattr(
-        "godwitbank._internal.core.entry.EntryCore._lose_outstanding",
-        lambda self, view, detail: self._resolve(view),
+        "godwitbank._internal.core.entry.EntryCore._mark_outstanding_unknown",
+        lambda self, view, detail: self._query_outstanding(view),
     )
 
 
@@ -258,7 +258,7 @@
     install = Catalog.install
 
     def accept(self: Catalog, service: str, revision: int, text: str) -> bool:
-        self._held.pop(service, None)
+        self._installed.pop(service, None)
         return install(self, service, revision, text)
 
     monkeypatch.setattr(Catalog, "install", accept)
