--- a/src/godwitbank/_internal/core/agent.py
+++ b/src/godwitbank/_internal/core/agent.py
@@ -1,4 +1,4 @@
-"""The agent's decisions: the only place where a task starts."""
+"""State machine of an agent: the only component that starts tasks."""
 
 from collections import deque
 from collections.abc import Callable
@@ -55,14 +55,19 @@
 from godwitbank._internal.models.tasks import TaskKey
 
 DEFAULT_PARKED = 1
-"""Starts that may wait for a slot while no document says otherwise."""
+"""Starts that may be parked, waiting for a slot, while no document is installed."""
 
 ACKNOWLEDGEMENT_TIMEOUT_SECONDS = 2.0
-"""Longest wait for acknowledgements once a leaving agent has nothing running."""
+"""Seconds for which a stopping agent without running tasks waits for
+acknowledgements of its last results."""
 
 
 class EntryStream:
-    """An entry's stream, as the agent sees it."""
+    """State of an entry's stream at the agent.
+
+    :ivar unacknowledged: tasks whose results were sent and not acknowledged, oldest
+        first.
+    """
 
     __slots__ = ("stream", "hello", "heard_at", "unacknowledged", "digest")
 
@@ -75,7 +80,7 @@
 
 
 class AgentCore:
-    """Decides for one agent; driven by events, answers with actions."""
+    """State machine of one agent: takes events, returns actions, does no I/O."""
 
     def __init__(self, identity: Identity, timing: Timing, now: float) -> None:
         self.identity = identity
@@ -120,7 +125,7 @@
         }
 
     def handle(self, event: object, now: float) -> list[Action]:
-        """Take one event and return what has to be done."""
+        """Handle one event and return the actions to perform."""
         self._now = now
         self._actions = []
         self._handlers[type(event)](event)
@@ -128,17 +133,17 @@
 
     @property
     def service(self) -> str:
-        """Service of the endpoint; empty while there is none."""
+        """Service of the endpoint; empty while there is no endpoint."""
         return self._endpoint_lease.service
 
     @property
     def leaving(self) -> bool:
-        """Whether nothing new is started."""
+        """Whether new starts are refused because the agent is leaving."""
         return self._endpoint_lease.leaving
 
     @property
     def slots(self) -> int:
-        """Tasks that may run at once: the endpoint's word and the document's."""
+        """Tasks that may run at once: the lower limit of endpoint and document."""
         held = self.catalog.find(self.service)
         if held is None:
             return self._endpoint_lease.slots
@@ -146,15 +151,15 @@
 
     @property
     def next_wakeup(self) -> float:
-        """Time at which a ``Tick`` is next needed."""
+        """Time at which the next ``Tick`` is due."""
         return self._next_heartbeat
 
     def list_entries(self) -> list[str]:
-        """List the stream addresses of the entries connected now."""
+        """List the stream addresses of the connected entries."""
         return sorted(each.hello.address for each in self._streams.values())
 
     def describe(self) -> dict[str, object]:
-        """Describe this agent's state for a status page."""
+        """Describe this agent's state for the status page."""
         return {
             "agent": self.identity.process,
             "service": self.service,
@@ -207,8 +212,8 @@
         self._announce_loads()
 
     def _drop_parked(self, stream: int) -> None:
-        # An entry that died with starts waiting here has a caller who will
-        # submit again; letting the old ones start would run the work twice.
+        # If the entry has died, its caller will submit the job again. Starts of the
+        # lost stream that are still parked must not run, or the work runs twice.
         for parked in self._parking.take_stream(stream):
             self._fence_start(parked.stream, parked.start)
             self.counts.add("parked_dropped", "stream_closed")
@@ -242,7 +247,7 @@
             self.counts.add("starts_ignored", "duplicate")
             return
         if start.request_id and self.history.has_request(start.request_id):
-            # The claim should have stopped this; as the last gate, don't run it.
+            # The claim should have prevented this start; refuse it as a last check.
             self.counts.add("starts_ignored", "request_seen")
             self._send(entry.stream, Resolved(start.key, Verdict.UNKNOWN))
             return
@@ -261,8 +266,8 @@
     def _answer_duplicate(self, entry: EntryStream, start: Start, attempt: int) -> None:
         self.counts.add("starts_ignored", "duplicate")
         if attempt != start.key.attempt:
-            # Another attempt of a task that ran here: its entry is wrong about
-            # the task, so it must not hear "not started".
+            # Another attempt of the task has started here, so the entry's view of
+            # the task is wrong, and it must not be told that the task never started.
             self._send(entry.stream, Resolved(start.key, Verdict.UNKNOWN))
 
     def _find_refusal(self, start: Start) -> Refusal | None:
@@ -271,8 +276,8 @@
         if self.history.is_fenced(start.key):
             return Refusal.FENCED
         if self._now > start.start_by:
-            # This process or its stream was frozen: the entry may long have
-            # told its caller something else.
+            # This process or its stream was paused; the entry may have given the
+            # task up and answered its caller meanwhile.
             return Refusal.STALE
         if self.leaving:
             return Refusal.LEAVING
@@ -343,7 +348,8 @@
     def _send_result(self, incarnation: str, event: RunEnded) -> None:
         stream = self._streams_by_incarnation.get(incarnation)
         if stream is None:
-            # Kept in memory; the entry asks for it on its next stream.
+            # The result stays in the history; the entry queries it on its next
+            # stream.
             self.counts.add("answers_held", "no_stream")
             return
         entry = self._streams[stream]
@@ -375,8 +381,8 @@
     def _handle_resolve(self, entry: EntryStream, query: Resolve) -> None:
         verdict = Verdict.UNKNOWN
         if query.incarnation == self.identity.incarnation:
-            # A start that waits for a slot hasn't started: take it back, or it
-            # would run after the entry was told that it never will.
+            # A parked start has not begun: remove it, or it would run after the
+            # entry was told that it never will.
             if self._parking.take(query.key) is not None:
                 self._announce_loads()
             verdict = self.history.resolve(
--- a/src/godwitbank/_internal/core/announcements.py
+++ b/src/godwitbank/_internal/core/announcements.py
@@ -1,14 +1,15 @@
-"""Where an agent announces itself next."""
+"""Addresses of entries to which an agent announces itself."""
 
 BALANCER_PERIOD_SECONDS = 5.0
-"""Seconds between looks through the balancer while entries are connected."""
+"""Seconds between queries through the balancer while entries are connected."""
 
 
 class Announcements:
-    """Entries an agent has heard of, and when to tell whom that it is there.
+    """Entries known to an agent, and the choice of those it announces itself to.
 
-    There is no list of endpoints and none of entries: an agent asks whichever
-    entry the balancer leads to, and tells those it names that don't dial it.
+    No list of endpoints or entries is configured. An agent queries an entry through
+    the balancer, and announces itself to the entries that this one names unless
+    they are already connected.
     """
 
     def __init__(self, balancer: str) -> None:
@@ -17,15 +18,18 @@
         self._balancer_queried_at = float("-inf")
 
     def add_entries(self, entries: list[str]) -> None:
-        """Note the entries another process named."""
+        """Add the addresses of entries that another process named."""
         self._known.update(entries)
 
     def remove_entry(self, entry: str) -> None:
-        """Note that an entry could not be reached."""
+        """Remove the address of an entry that could not be reached."""
         self._known.discard(entry)
 
     def choose_targets(self, connected: list[str], now: float) -> list[str]:
-        """Choose the addresses to announce to now."""
+        """Choose the addresses to announce to now.
+
+        :param connected: addresses of the entries that are connected.
+        """
         targets = sorted(self._known.difference(connected))
         due = now - self._balancer_queried_at >= BALANCER_PERIOD_SECONDS
         if due or not connected:
--- a/src/godwitbank/_internal/core/catalog.py
+++ b/src/godwitbank/_internal/core/catalog.py
@@ -1,4 +1,4 @@
-"""Accepted service documents, of which only a higher revision replaces one."""
+"""Service documents in force; only a higher revision replaces a document."""
 
 from typing import NamedTuple
 from zlib import crc32
@@ -17,28 +17,31 @@
 
 
 class Catalog:
-    """Documents in force, by service."""
+    """Documents in force, by service.
+
+    :ivar digest: checksum over all services and revisions, to compare catalogs.
+    """
 
     def __init__(self) -> None:
         self._installed: dict[str, InstalledDocument] = {}
         self.digest = 0
 
     def install(self, service: str, revision: int, text: str) -> bool:
-        """Put a document in force unless one at least as new already is.
+        """Install a document unless this revision or a higher one is in force.
 
-        A read from a lagging replica, a paused process that wakes, or a stream
-        that repeats itself all offer old revisions; without this comparison an
-        accepted change would silently be undone.
+        A read from a lagging replica, a process that resumes after a pause and a
+        repeated message may all offer an old revision. Installing it would
+        silently revert an accepted change.
 
-        :return: whether the document is now in force and was not before.
+        :return: whether the document was installed.
         """
         installed = self._installed.get(service)
         if installed is not None and installed.revision >= revision:
             return False
         parsed = ServiceDocument.from_text(text)
         if not isinstance(parsed, Success):
-            # Only checked documents are accepted, so this one was written by a
-            # newer version; keep the one that is understood.
+            # Only validated documents are accepted, so this one was written by a
+            # newer version of the software; keep the document that can be parsed.
             return False
         self._installed[service] = InstalledDocument(revision, text, parsed.unwrap())
         self.digest = self._compute_digest()
@@ -56,7 +59,10 @@
         }
 
     def list_newer(self, than: dict[str, int]) -> list[tuple[str, InstalledDocument]]:
-        """List what is newer here than in another process."""
+        """List the documents that are newer here than in another process.
+
+        :param than: revision that the other process holds, by service.
+        """
         return [
             (service, installed)
             for service, installed in self._installed.items()
--- a/src/godwitbank/_internal/core/claims.py
+++ b/src/godwitbank/_internal/core/claims.py
@@ -1,31 +1,33 @@
 """Claims of non-idempotent request ids in the platform's table.
 
-A claim is written before the start and grouped with all that came in while the
-last write was under way. A claim's token names one submission's task, so that a
-write whose answer was lost can be sent again and recognised as its own.
+A claim is written before its task starts. Claims that arrive while a write is in
+progress are batched into the next one. A claim's token names one task of one
+submission, so that a write whose answer was lost can be repeated and the row
+recognised as the entry's own.
 """
 
 from collections import OrderedDict
 from typing import NamedTuple
 
 MAX_BATCH_CLAIMS = 200
-"""Claims in one transaction."""
+"""Most claims in one transaction."""
 
 MAX_REMEMBERED_TOKENS = 20_000
-"""Tokens remembered as held here or as abandoned here."""
+"""Most tokens kept as held by this entry, and as many as abandoned by it."""
 
 FAILURES_BEFORE_REFUSAL = 2
-"""Writes without an answer, in a row, after which new claims are refused."""
+"""Consecutive writes without an answer after which new claims are refused."""
 
 WRITES_PER_SECOND = 300.0
-"""Claim writes that all entries together may make of the table's several hundred."""
+"""Claim writes per second of all entries together; the table takes several hundred
+writes per second in all."""
 
 RETRY_DELAY_SECONDS = 0.1
-"""Seconds before a batch without an answer is sent again."""
+"""Seconds before a batch that got no answer is written again."""
 
 
 class Claim(NamedTuple):
-    """A request id wanted by one task."""
+    """A request to claim a request id for one task."""
 
     key: str
     token: str
@@ -33,10 +35,11 @@
 
 
 class Batch(NamedTuple):
-    """Claims to be committed together.
+    """Claims to commit in one transaction.
 
-    :param supersedes: tokens of this entry's own abandoned claims, which may
-        be replaced because their tasks can never start.
+    :param claims: token to write for each key.
+    :param supersedes: for some of the keys, the token of a claim that this entry
+        abandoned; it may be replaced, because its task can never start.
     """
 
     number: int
@@ -45,7 +48,7 @@
 
 
 class Claims:
-    """Groups claims into batches, one batch at a time."""
+    """Groups claims into batches and tracks the one batch being written."""
 
     def __init__(self) -> None:
         self._waiting: OrderedDict[str, Claim] = OrderedDict()
@@ -58,19 +61,20 @@
         self._abandoned: OrderedDict[str, str] = OrderedDict()
 
     def find_holder(self, key: str) -> str | None:
-        """Find the token that holds a key as far as this entry knows."""
+        """Find the token with which this entry holds or requests a key."""
         return self._held.get(key)
 
     def request(self, key: str, token: str, now: float) -> None:
-        """Queue a claim; the key is held here from now on."""
+        """Queue a claim; from now on this entry treats the key as held."""
         self._waiting[key] = Claim(key, token, now)
         self._remember_token(self._held, key, token)
 
     def next_batch(self, now: float, entries: int) -> Batch | None:
-        """Take the batch to write now, if any.
+        """Return the batch to write now, or ``None``.
 
-        :param entries: entries known, this one included. They share the table's
-            writes, so each waits that much longer and groups that many more.
+        :param entries: number of known entries, including this one. They share
+            the table's write rate, so with more entries each one writes less
+            often, in larger batches.
         """
         if self._batch is not None:
             if self._retry_at and now >= self._retry_at:
@@ -90,10 +94,10 @@
         return self._batch
 
     def resolve(self, number: int, lost: dict[str, str]) -> dict[str, bool]:
-        """Note a committed batch.
+        """Handle the result of a committed batch.
 
-        :param lost: keys held by others with the holder's token.
-        :return: for each token whether its claim was won.
+        :param lost: keys held by other tasks, with the token that holds each.
+        :return: for each token of the batch, whether its claim was won.
         """
         if self._batch is None or self._batch.number != number:
             return {}
@@ -110,13 +114,13 @@
         return results
 
     def mark_unanswered(self, number: int, now: float) -> None:
-        """Note that a batch got no answer; it is sent again as it was."""
+        """Record that a batch got no answer and schedule it again, unchanged."""
         if self._batch is not None and self._batch.number == number:
             self._retry_at = now + RETRY_DELAY_SECONDS
             self._failures += 1
 
     def abandon(self, key: str, token: str) -> None:
-        """Give up a claim whose task was not and will not be started."""
+        """Give up a claim whose task was not started and never will be."""
         if self._waiting.get(key, Claim("", "", 0)).token == token:
             del self._waiting[key]
         if self._held.get(key) == token:
@@ -125,12 +129,12 @@
 
     @property
     def failing(self) -> bool:
-        """Whether the table has failed more than once in a row."""
+        """Whether the table has left several writes in a row unanswered."""
         return self._failures >= FAILURES_BEFORE_REFUSAL
 
     @property
     def next_write(self) -> float:
-        """Time at which a batch may next go out, or infinity."""
+        """Time at which a batch may next be written, or infinity."""
         if self._batch is not None:
             return self._retry_at or float("inf")
         return self._next_write_at if self._waiting else float("inf")
--- a/src/godwitbank/_internal/core/counters.py
+++ b/src/godwitbank/_internal/core/counters.py
@@ -1,18 +1,18 @@
-"""Counts of what the core did, by name and reason."""
+"""Counters of the core's decisions, by name and reason."""
 
 from collections import Counter
 from typing import NamedTuple
 
 
 class CounterKey(NamedTuple):
-    """One counter: a name and the reason it distinguishes."""
+    """Key of one counter: its name, and a reason if it distinguishes several."""
 
     name: str
     reason: str = ""
 
 
 class Counts:
-    """Monotonic counters that a shell may publish.
+    """Monotonic counters, published by the I/O layer as metrics.
 
     >>> counts = Counts()
     >>> counts.add("starts")
@@ -24,13 +24,13 @@
         self._values: Counter[CounterKey] = Counter()
 
     def add(self, name: str, reason: str = "", amount: int = 1) -> None:
-        """Count ``amount`` more of a kind."""
+        """Increase a counter by ``amount``."""
         self._values[CounterKey(name, reason)] += amount
 
     def get(self, name: str, reason: str = "") -> int:
-        """Tell one counter's value."""
+        """Return the value of a counter."""
         return self._values[CounterKey(name, reason)]
 
     def list_all(self) -> list[tuple[CounterKey, int]]:
-        """List every counter with its value, sorted."""
+        """List all counters with their values, sorted by key."""
         return sorted(self._values.items())
--- a/src/godwitbank/_internal/core/dispatch.py
+++ b/src/godwitbank/_internal/core/dispatch.py
@@ -1,4 +1,4 @@
-"""From submission to answer: admission, starts, answers, failures."""
+"""Submissions from admission to answer: claims, starts, results and failures."""
 
 import heapq
 from collections.abc import Callable
@@ -45,10 +45,10 @@
 from godwitbank._internal.models.tasks import Submission
 
 NO_AGENT_TIMEOUT_SECONDS = 3.0
-"""Seconds without any usable agent after which waiting work is given up."""
+"""Seconds without a usable agent after which a service's waiting jobs fail."""
 
 RETRY_AFTER_SECONDS = 1.0
-"""Seconds after which a caller may ask again when nothing better is known."""
+"""Default ``retry_after`` of a refusal or failure, when no estimate is available."""
 
 _REASONS_BY_ENDING = {
     Ending.ENDPOINT_FAILED: Reason.ENDPOINT_FAILED,
@@ -57,7 +57,7 @@
 
 
 class Dispatcher:
-    """Jobs in flight at one entry and the agents they run on."""
+    """Dispatches the jobs in flight at one entry to agents."""
 
     def __init__(
         self, catalog: Catalog, counts: Counts, timing: Timing, rng: Random, zone: str
@@ -77,18 +77,18 @@
         self._now = 0.0
 
     def begin_event(self, now: float, emit: Callable[[Action], None]) -> None:
-        """Set the time and the sink of actions for the event being handled."""
+        """Set the time, and the function that takes actions, for one event."""
         self._now = now
         self._emit = emit
 
     @property
     def next_wakeup(self) -> float:
-        """Time of the next deadline or retry."""
+        """Time of the next deadline or claim write."""
         deadline = self._deadlines[0][0] if self._deadlines else float("inf")
         return min(deadline, self.claims.next_write)
 
     def configure(self, name: str) -> None:
-        """Put the catalog's document of a service in force."""
+        """Apply the catalog's document of a service."""
         held = self._catalog.find(name)
         if held is None:
             return
@@ -104,7 +104,7 @@
     # Submissions
 
     def submit(self, submission: Submission) -> None:
-        """Admit a submission or refuse it at once."""
+        """Admit a submission, or refuse it immediately."""
         service = self.services.get(submission.service)
         if service is None:
             detail = f"no document for service {submission.service!r}"
@@ -129,8 +129,8 @@
         self._counts.add("submissions")
         for task in job.tasks:
             if job.submission not in self.jobs:
-                # An earlier task failed the job on its way in; what is queued
-                # now would run for nobody.
+                # Admission of an earlier task has failed the job. The remaining
+                # tasks must not be queued, as their caller has its answer.
                 break
             self._queue_or_claim(service, task)
         self._write_claims()
@@ -148,8 +148,8 @@
         return any(not classes[task.class_name].idempotent for task in submission.tasks)
 
     def _queue_or_claim(self, service: Service, task: Task) -> None:
-        table = service.document.classes[task.spec.class_name]
-        if table.idempotent:
+        class_table = service.document.classes[task.spec.class_name]
+        if class_table.idempotent:
             service.queue.add(task)
             return
         key = make_claim_key(task.job.service, task.spec.request_id)
@@ -169,7 +169,7 @@
             self._emit(WriteClaims(*batch))
 
     def resolve_claims(self, event: ClaimsWritten) -> None:
-        """Queue the tasks whose claim was won; ask about the others."""
+        """Queue the tasks whose claims were won; query agents about the others."""
         for token, won in self.claims.resolve(event.batch, event.lost).items():
             submission, _, index = token.rpartition(":")
             job = self.jobs.get(submission)
@@ -187,13 +187,13 @@
         self._write_claims()
 
     def _release_late_claim(self, event: ClaimsWritten, token: str, won: bool) -> None:
-        # The write took effect after its task had been given up as not run;
-        # without this the request id could never be used again.
+        # The write took effect after its task had failed as not run. Unless the
+        # claim is released, the request id can never be used again.
         if won and token in event.written:
             self._emit(ReleaseClaims({event.written[token]: token}))
 
     def handle_claims_failure(self, event: ClaimsFailed) -> None:
-        """Give up what waits for a table that doesn't answer."""
+        """Fail jobs that wait for claims once the table repeatedly doesn't answer."""
         self._counts.add("claim_writes_failed")
         self.claims.mark_unanswered(event.batch, self._now)
         if not self.claims.failing:
@@ -219,7 +219,7 @@
             self._fail_as_duplicate(task, running=False)
 
     def handle_recalled(self, recalled: Recalled) -> None:
-        """Use an agent's memory of a request that was claimed before."""
+        """Handle an agent's answer about a request that was claimed before."""
         key = make_claim_key(recalled.service, recalled.request_id)
         for task, running, resolved in self._recalls.handle_answer(
             key, recalled.verdict
@@ -235,18 +235,20 @@
     def _fail_as_duplicate(self, task: Task, running: bool) -> None:
         detail = f"request id {task.spec.request_id!r} was submitted before"
         detail += " and is still running" if running else ""
-        after = RETRY_AFTER_SECONDS if running else None
-        self._fail_job(task.job, Reason.DUPLICATE_REQUEST, detail, after, task, True)
+        retry_delay = RETRY_AFTER_SECONDS if running else None
+        self._fail_job(
+            task.job, Reason.DUPLICATE_REQUEST, detail, retry_delay, task, True
+        )
 
     # Starts
 
     def dispatch_all(self) -> None:
-        """Send what can be sent, for every service."""
+        """Start as many waiting tasks of every service as agents have slots for."""
         for service in self.services.values():
             self.dispatch(service)
 
     def dispatch(self, service: Service) -> None:
-        """Send waiting tasks while agents have free slots."""
+        """Start waiting tasks of a service while agents have free slots."""
         queue = service.queue
         same_zone = service.document.policy.same_zone
         while queue.waiting:
@@ -260,9 +262,9 @@
         self._tell_wants(service)
 
     def _start(self, service: Service, task: Task, view: AgentView) -> None:
-        table = service.document.classes[task.spec.class_name]
-        left = task.job.deadline - self._now
-        timeout = min(table.timeout_seconds, max(left, 0.001))
+        class_table = service.document.classes[task.spec.class_name]
+        remaining = task.job.deadline - self._now
+        timeout = min(class_table.timeout_seconds, max(remaining, 0.001))
         key = task.begin_attempt()
         start_by = view.clock + self._timing.start_window
         view.outstanding[key] = OutstandingStart(
@@ -271,7 +273,7 @@
         view.count_sent_start()
         task.job.started += 1
         self._counts.add("starts_sent")
-        request_id = "" if table.idempotent else task.spec.request_id
+        request_id = "" if class_table.idempotent else task.spec.request_id
         self._emit(
             Send(
                 view.stream or 0,
@@ -311,12 +313,12 @@
         return view.outstanding.pop(message.key, None)
 
     def handle_finished(self, view: AgentView, message: Finished) -> None:
-        """Join an answer to its job."""
+        """Record a task's result in its job and dispatch to the freed slot."""
         view.acknowledged += 1
         sent = self._pop_outstanding(view, message)
         service = self.services.get(view.service)
         if sent is None:
-            # Repeated, or of a task already given up: never joined to anything.
+            # A repeated result, or one of a task that was given up: discard it.
             self._counts.add("answers_dropped", "unknown")
         elif sent.task.key != message.key or sent.task.state is not TaskState.SENT:
             self._counts.add("answers_dropped", "late")
@@ -344,12 +346,12 @@
                 ejection.reinstate(view)
                 self._counts.add("reinstated")
         elif failed:
-            # Crawling is judged at heartbeats; looking at every peer after
-            # every answer took a third of the core's time.
+            # Slowness is checked at heartbeats only: comparing with every peer
+            # after every answer took a third of the core's processor time.
             self.eject_if_unhealthy(view, service)
 
     def eject_if_unhealthy(self, view: AgentView, service: Service) -> None:
-        """Eject an agent that stands out from its peers."""
+        """Eject an agent that fails or is slow in comparison with its peers."""
         reason = ejection.find_reason(view, service.pool, self._now)
         if reason is not None:
             self._counts.add("ejected", reason)
@@ -372,13 +374,13 @@
             self._emit(Reply(Complete(job.submission, answers)))
 
     def handle_refused(self, view: AgentView, message: Refused) -> None:
-        """Queue a task again that its agent did not start."""
+        """Requeue a task whose agent refused to start it."""
         sent = self._pop_outstanding(view, message)
         self._counts.add("starts_returned", message.reason)
         if sent is None or sent.task.key != message.key:
             return
         if message.reason in (Refusal.LEAVING, Refusal.LAPSED, Refusal.NO_ENDPOINT):
-            # Its own state message may still be on its way.
+            # Stop sending at once; the agent's EndpointState may not be here yet.
             view.leaving = True
         self._requeue(sent.task)
 
@@ -399,7 +401,7 @@
         self.dispatch(service)
 
     def handle_resolved(self, view: AgentView, message: Resolved) -> None:
-        """Act on what an agent says of a start that was in doubt."""
+        """Handle an agent's answer about a start whose state was unknown."""
         self._counts.add("resolved", message.verdict)
         if message.verdict in (Verdict.RUNNING, Verdict.FINISHED):
             return
@@ -412,7 +414,7 @@
             self.mark_outcome_unknown(sent, "the agent no longer knows the task")
 
     def mark_outcome_unknown(self, sent: OutstandingStart, detail: str) -> None:
-        """Give up a task whose outcome can't be learnt."""
+        """Fail the job of a started task whose outcome can't be determined."""
         if sent.task.state is TaskState.SENT:
             self._counts.add("tasks_lost")
             self._fail_job(
@@ -463,13 +465,13 @@
 
     def _cancel_sent(self, service: Service, job: Job) -> None:
         policy = service.document.policy
-        parks = service.document.endpoint.parked and policy.message_weight > 0
+        may_park = service.document.endpoint.parked and policy.message_weight > 0
         sent = {task.key for task in job.tasks if task.state is TaskState.SENT}
         for task in job.tasks:
             if task.state is not TaskState.ANSWERED:
                 task.state = TaskState.DROPPED
-        if not parks or not sent:
-            # Nothing waits at agents, so a cancellation would come too late.
+        if not may_park or not sent:
+            # Agents park no starts, so a cancellation would arrive too late.
             return
         for view in service.pool.views:
             for key in sent & view.outstanding.keys():
@@ -478,13 +480,13 @@
                     self._emit(Send(view.stream, Cancel(key)))
 
     def cancel(self, submission: str) -> None:
-        """Drop what hasn't started of a submission whose caller left."""
+        """Fail a submission whose caller disconnected; drop its unstarted tasks."""
         job = self.jobs.get(submission)
         if job is not None:
             self._fail_job(job, Reason.CANCELLED, "the caller hung up", None)
 
     def check_timers(self) -> None:
-        """Act on deadlines, retries and services without agents."""
+        """Handle deadlines, claim retries and services without usable agents."""
         while self._deadlines and self._deadlines[0][0] <= self._now:
             _, submission = heapq.heappop(self._deadlines)
             job = self.jobs.get(submission)
@@ -511,18 +513,18 @@
         if self._now - service.without_agents_since < NO_AGENT_TIMEOUT_SECONDS:
             return
         for job in list(self.jobs.values()):
-            waits = any(task.state is TaskState.WAITING for task in job.tasks)
-            if waits and self.services[job.service] is service:
+            is_waiting = any(task.state is TaskState.WAITING for task in job.tasks)
+            if is_waiting and self.services[job.service] is service:
                 detail = "every endpoint of the service is gone"
                 self._fail_job(job, Reason.NO_ENDPOINT, detail, RETRY_AFTER_SECONDS)
 
 
 SLOW_PROBE_FACTOR = 4.0
-"""How many times its class's mean a probe may run before it counts as slow."""
+"""Multiple of its class's mean run time above which a probe counts as slow."""
 
 
 def make_claim_key(service: str, request_id: str) -> str:
-    """Name the claim of a request id.
+    """Make the table key for the claim of a request id.
 
     >>> make_claim_key("desk", "r1")
     'claim/desk/r1'
--- a/src/godwitbank/_internal/core/ejection.py
+++ b/src/godwitbank/_internal/core/ejection.py
@@ -1,8 +1,8 @@
-"""Taking endpoints that fail or crawl out of rotation, within a cap.
+"""Ejection of endpoints that fail or are slow, limited to a share of them.
 
-An endpoint that fails everything at once looks idle and would draw all work.
-It is judged against its peers: a job that fails everywhere raises everyone's
-rate alike and ejects nobody.
+An endpoint that fails every task immediately looks idle and would attract all work.
+Endpoints are compared with their peers: a job that fails everywhere raises all
+failure rates alike and ejects no endpoint.
 """
 
 from statistics import median
@@ -10,30 +10,34 @@
 from godwitbank._internal.core.pool import AgentView, Pool
 
 MIN_FAILURE_RATE = 0.5
-"""Failure share below which nobody is ejected."""
+"""Failure rate below which no endpoint is ejected."""
 
 PEER_RATE_FACTOR = 3.0
-"""How many times its peers' median rate an endpoint must fail."""
+"""Multiple of its peers' median failure rate above which an endpoint is ejected."""
 
 MAX_EJECTED_SHARE = 0.34
-"""Largest share of a service's endpoints ejected at once."""
+"""Largest share of a service's endpoints that may be ejected at once."""
 
 SLOW_LOG_RATIO = 1.4
-"""Log of run time over its class mean, against peers, that counts as crawling."""
+"""Excess over the peers' median slowness above which an endpoint is slow. Slowness is
+the average logarithm of run time over class mean."""
 
 SUSPECT_LOG_RATIO = 0.5
-"""Log ratio below which peers aren't even looked at."""
+"""Slowness up to which an endpoint isn't compared with its peers."""
 
 MIN_RUNS = 8
-"""Runs below which slowness is not judged."""
+"""Runs below which slowness is not evaluated."""
 
 FIRST_EJECTION_SECONDS = 10.0
 MAX_EJECTION_SECONDS = 60.0
-"""Seconds out of rotation: doubles from the first to the longest."""
+"""Durations of the first and of the longest ejection; each doubles the one before."""
 
 
 def find_reason(view: AgentView, pool: Pool, now: float) -> str | None:
-    """Say why an agent should be ejected, or ``None``."""
+    """Return why an agent should be ejected, or ``None`` if it shouldn't.
+
+    :return: ``failing`` or ``slow``.
+    """
     rate = measure_failure_rate(view, now)
     slow = view.runs >= MIN_RUNS and view.slowness > SUSPECT_LOG_RATIO
     if view.ejected_until > 0 or (rate < MIN_FAILURE_RATE and not slow):
@@ -55,12 +59,12 @@
 
 
 def measure_failure_rate(view: AgentView, now: float) -> float:
-    """Tell an agent's failure share as seen here and as it says itself."""
+    """Return the higher of an agent's observed and self-reported failure rates."""
     return max(view.failures.measure(now), view.reported_failure_rate)
 
 
 def eject(view: AgentView, now: float) -> None:
-    """Take an agent out of rotation."""
+    """Eject an agent; the duration doubles with each ejection."""
     seconds = min(FIRST_EJECTION_SECONDS * 2**view.ejections, MAX_EJECTION_SECONDS)
     view.ejected_until = now + seconds
     view.ejections += 1
@@ -68,7 +72,7 @@
 
 
 def reinstate(view: AgentView) -> None:
-    """Put an agent back after a probe that went well."""
+    """Reinstate an agent after a successful probe."""
     view.ejected_until = 0.0
     view.probing = False
     view.failures.clear()
--- a/src/godwitbank/_internal/core/endpoint_lease.py
+++ b/src/godwitbank/_internal/core/endpoint_lease.py
@@ -1,10 +1,17 @@
-"""The endpoint beside an agent: its announcement, its lease, its leaving."""
+"""Lease of the endpoint beside an agent: announcement, expiry and departure."""
 
 from godwitbank._internal.core.events import EndpointAnnounced
 
 
 class EndpointLease:
-    """Whether an endpoint is there, and whether it may be given work."""
+    """Whether an endpoint is present, and whether it may be given work.
+
+    :ivar service: service of the endpoint; empty while there is none.
+    :ivar slots: tasks that the endpoint runs at once.
+    :ivar leaving: whether new work is refused because the endpoint is leaving, an
+        operator drains the agent or the agent is shutting down.
+    :ivar stopping: whether the agent's process is shutting down.
+    """
 
     def __init__(self, now: float) -> None:
         self.service = ""
@@ -17,12 +24,13 @@
         self._drain_requested = False
 
     def handle_announcement(self, event: EndpointAnnounced, now: float) -> bool:
-        """Take an announcement or renewal.
+        """Handle an announcement or a renewal.
 
-        :return: whether entries have to be told.
+        :return: whether the endpoint's state changed, so that it must be announced
+            to the entries.
         """
         if self._left_instance == event.instance:
-            # A renewal that crossed the endpoint's own goodbye.
+            # A renewal that the endpoint sent before its departure.
             return False
         if self._left_instance:
             self._left_instance = ""
@@ -37,28 +45,31 @@
         return changed
 
     def is_lapsed(self, now: float) -> bool:
-        """Tell whether the lease has ended.
+        """Return whether the lease has expired.
 
-        Asked at each start and not left to a timer: a process that was paused
-        has timers that are as late as itself.
+        Checked at each start rather than left to a timer, because the timers of a
+        process that was paused are late as well.
         """
         return now > self._lease_until
 
     def accepts_work(self, now: float) -> bool:
-        """Tell whether new work may start."""
+        """Return whether new work may start."""
         return bool(self.service) and not self.leaving and not self.is_lapsed(now)
 
     def end_if_lapsed(self, now: float) -> bool:
-        """Forget an endpoint whose lease has ended; tells whether it did."""
+        """Clear the service if the lease has expired.
+
+        :return: whether a service was cleared.
+        """
         if self.service and self.is_lapsed(now):
             self.service = ""
             return True
         return False
 
     def record_departure(self) -> None:
-        """Note the endpoint's own goodbye; another instance may come later."""
+        """Record that the endpoint is leaving; another instance may replace it."""
         self._left_instance = self._instance
 
     def request_drain(self) -> None:
-        """Note an operator's wish, which outlives the endpoint's instance."""
+        """Record an operator's drain request; it also applies to later instances."""
         self._drain_requested = True
--- a/src/godwitbank/_internal/core/entry.py
+++ b/src/godwitbank/_internal/core/entry.py
@@ -1,4 +1,4 @@
-"""The entry's decisions: membership, configuration, and the dispatcher."""
+"""State machine of an entry: membership, configuration and dispatching."""
 
 from collections.abc import Callable
 from random import Random
@@ -50,14 +50,14 @@
 )
 
 RECONNECT_TIMEOUT_SECONDS = 6.0
-"""Seconds an unreachable agent has to come back before its tasks are lost."""
+"""Seconds a disconnected agent has to reconnect before its tasks count as lost."""
 
 BOOT_LISTEN_SECONDS = 1.0
-"""Seconds a booting entry listens for newer revisions before it serves."""
+"""Seconds a booting entry waits for newer revisions from others before it serves."""
 
 
 class EntryCore:
-    """Decides for one entry; driven by events, answers with actions."""
+    """State machine of one entry: takes events, returns actions, does no I/O."""
 
     def __init__(
         self,
@@ -118,7 +118,7 @@
         }
 
     def handle(self, event: object, now: float) -> list[Action]:
-        """Take one event and return what has to be done."""
+        """Handle one event and return the actions to perform."""
         self._now = now
         self._actions = []
         self.dispatcher.begin_event(now, self._actions.append)
@@ -128,16 +128,16 @@
 
     @property
     def next_wakeup(self) -> float:
-        """Time at which a ``Tick`` is next needed."""
+        """Time at which the next ``Tick`` is due."""
         return min(self._next_heartbeat, self.dispatcher.next_wakeup)
 
     @property
     def ready(self) -> bool:
-        """Whether this entry knows enough to serve.
+        """Whether this entry may serve.
 
-        It must have heard the table, another entry or an agent, and have
-        listened long enough that a newer revision known to any of them has
-        arrived: serving on an old document would revert an accepted one.
+        It must have read the table or received from another entry or an agent,
+        and have waited long enough for a newer revision that any of them holds
+        to arrive. Serving with an old document would revert an accepted change.
         """
         informed = self._table_read or self._has_contact
         return informed and self._now - self._booted_at >= BOOT_LISTEN_SECONDS
@@ -203,7 +203,7 @@
 
     def _open_peer(self, stream: int, address: str, hello: Hello) -> None:
         if hello.incarnation == self.identity.incarnation:
-            # The balancer led back to this very process.
+            # The balancer routed the connection back to this process.
             self._actions.append(CloseStream(stream, "self"))
             return
         if self.membership.is_balancer(address):
@@ -394,7 +394,10 @@
             self._send(stream, Document(service, held.revision, held.text))
 
     def list_revisions_of(self, view: AgentView | PeerView) -> dict[str, int]:
-        """List what another process holds, as far as it has said."""
+        """List the revisions that another process last reported to hold.
+
+        :return: revision for each service name.
+        """
         if view.digest == self.catalog.digest:
             return self.catalog.list_revisions()
         return view.revisions
--- a/src/godwitbank/_internal/core/events.py
+++ b/src/godwitbank/_internal/core/events.py
@@ -1,4 +1,4 @@
-"""What the shells tell the cores, and what the cores ask of the shells."""
+"""Events that the I/O layer passes to the cores, and the actions cores return."""
 
 from typing import NamedTuple
 
@@ -8,9 +8,11 @@
 
 
 class StreamOpened(NamedTuple):
-    """The other side of a stream introduced itself.
+    """The remote side of a stream sent its greeting.
 
-    :param stream: the shell's number for the stream, never used again.
+    :param stream: number that the I/O layer gave the stream; never reused.
+    :param greeting: ``Welcome`` from an agent that was dialled, else ``Hello``.
+    :param address: address that was dialled; empty for an inbound stream.
     """
 
     stream: int
@@ -19,7 +21,11 @@
 
 
 class StreamClosed(NamedTuple):
-    """A stream ended or could not be opened."""
+    """A stream ended or could not be opened.
+
+    :param stream: number of the stream; 0 when a dial failed.
+    :param address: address that was dialled, when a dial failed.
+    """
 
     stream: int
     address: str = ""
@@ -33,17 +39,17 @@
 
 
 class Tick(NamedTuple):
-    """Time passed; due timers may act."""
+    """Time has passed; timers that are due are handled."""
 
 
 class Submitted(NamedTuple):
-    """A caller handed over a job or a request."""
+    """A caller submitted a job or a request."""
 
     submission: Submission
 
 
 class CallerDisconnected(NamedTuple):
-    """A caller hung up before its answer."""
+    """A caller disconnected before its answer was sent."""
 
     submission: str
 
@@ -51,8 +57,9 @@
 class ClaimsWritten(NamedTuple):
     """The table committed a batch of claims.
 
-    :param lost: keys held by others, with the holder's token.
-    :param written: the key of each token of the batch.
+    :param batch: number of the batch.
+    :param lost: keys that are held by other tasks, with the token that holds each.
+    :param written: token of each claim in the batch, with its key.
     """
 
     batch: int
@@ -61,13 +68,13 @@
 
 
 class ClaimsFailed(NamedTuple):
-    """The table gave no answer to a batch of claims; it may have committed."""
+    """The table didn't answer a batch of claims; it may have committed it."""
 
     batch: int
 
 
 class DocumentRead(NamedTuple):
-    """A document was read from the table or accepted by it."""
+    """A service document was read from the table or accepted by it."""
 
     service: str
     revision: int
@@ -75,17 +82,18 @@
 
 
 class TableRead(NamedTuple):
-    """A whole read of the table's revisions succeeded."""
+    """All document revisions in the table were read successfully."""
 
 
 class StopRequested(NamedTuple):
-    """An orderly stop of the process was asked for."""
+    """A graceful shutdown of the process was requested."""
 
 
 class DrainRequested(NamedTuple):
-    """An operator wants an agent to leave.
+    """An operator requested that an agent drain.
 
-    :param request: the shell's number for the request.
+    :param agent: name of the agent's process.
+    :param operator: name of the operator, passed on to the agent.
     """
 
     agent: str
@@ -93,10 +101,11 @@
 
 
 class EndpointAnnounced(NamedTuple):
-    """The endpoint announced itself or renewed.
+    """The endpoint announced itself or renewed its lease.
 
-    :param lease: seconds until it counts as gone without another renewal.
-    :param instance: the endpoint's own name for this run of its process.
+    :param slots: tasks that the endpoint runs at once.
+    :param lease: seconds after which the endpoint counts as gone unless it renews.
+    :param instance: name that the endpoint chose for this run of its process.
     """
 
     service: str
@@ -106,11 +115,16 @@
 
 
 class EndpointLeft(NamedTuple):
-    """The endpoint said it is leaving."""
+    """The endpoint announced that it is leaving."""
 
 
 class RunEnded(NamedTuple):
-    """The endpoint's call for a started task ended."""
+    """The call to the endpoint for a started task ended.
+
+    :param ending: value of ``Ending``.
+    :param status: HTTP status of the endpoint's response.
+    :param run_time: seconds that the call took.
+    """
 
     key: TaskKey
     ending: str
@@ -121,7 +135,7 @@
 
 
 class Send(NamedTuple):
-    """Write a message to a stream."""
+    """Send a message on a stream."""
 
     stream: int
     message: Message
@@ -141,15 +155,17 @@
 
 
 class Reply(NamedTuple):
-    """Answer a caller."""
+    """Send a submission's outcome to its caller."""
 
     outcome: Outcome
 
 
 class WriteClaims(NamedTuple):
-    """Commit claims in one transaction.
+    """Write claims to the table in one transaction.
 
-    :param supersedes: for some keys, the token that may be replaced.
+    :param batch: number of the batch, returned with its result.
+    :param claims: token to write for each key.
+    :param supersedes: for some of the keys, a token that may be replaced.
     """
 
     batch: int
@@ -158,13 +174,16 @@
 
 
 class ReleaseClaims(NamedTuple):
-    """Delete claims that still hold these tokens; best effort."""
+    """Delete the claims that still hold these tokens; best effort."""
 
     claims: dict[str, str]
 
 
 class RunTask(NamedTuple):
-    """Call the endpoint for a task that has just been started."""
+    """Call the endpoint for a task that was just started.
+
+    :param timeout: seconds until the call is given up.
+    """
 
     key: TaskKey
     class_name: str
@@ -174,7 +193,7 @@
 
 
 class Drained(NamedTuple):
-    """Nothing is left to do; the process may exit."""
+    """All work and acknowledgements are complete; the process may exit."""
 
 
 Action = (
--- a/src/godwitbank/_internal/core/failure_rate.py
+++ b/src/godwitbank/_internal/core/failure_rate.py
@@ -1,30 +1,30 @@
-"""Share of recent submissions that failed at one endpoint."""
+"""Failure rate of one endpoint over recent submissions."""
 
 from collections import OrderedDict
 from typing import NamedTuple
 
 WINDOW_SUBMISSIONS = 20
-"""Submissions that count as recent."""
+"""Number of most recent submissions that count."""
 
 MAX_VOTE_AGE_SECONDS = 10.0
 """Seconds after which a vote no longer counts."""
 
 MIN_SAMPLES = 4
-"""Submissions below which nothing is concluded."""
+"""Number of submissions below which the rate is reported as 0."""
 
 
 class Vote(NamedTuple):
-    """One submission's experience of an endpoint."""
+    """Whether any task of one submission failed at an endpoint, and when last seen."""
 
     failed: bool
     at: float
 
 
 class FailureRate:
-    """Failure share by distinct submission.
+    """Share of recent submissions with a failed task.
 
-    A job whose every task fails must not count hundreds of times against the
-    endpoint that happened to run it, so each submission has one vote.
+    Each submission has one vote, so that a job whose tasks all fail doesn't count
+    hundreds of times against the endpoint that happened to run it.
 
     >>> rate = FailureRate()
     >>> rate.add("a", True, now=0.0)
@@ -39,11 +39,11 @@
 
     @property
     def samples(self) -> int:
-        """Number of submissions seen recently."""
+        """Number of recent submissions with a vote."""
         return len(self._votes)
 
     def add(self, submission: str, failed: bool, now: float) -> None:
-        """Note how a task of a submission ended."""
+        """Record whether a task of a submission failed."""
         previous = self._votes.pop(submission, None)
         if previous is not None:
             self._failed -= previous.failed
@@ -54,7 +54,7 @@
             self._drop_oldest()
 
     def measure(self, now: float) -> float:
-        """Tell the share that failed, or 0 while there are too few votes."""
+        """Return the failure rate, 0 to 1; 0 while there are too few votes."""
         while (
             self._votes
             and next(iter(self._votes.values())).at + MAX_VOTE_AGE_SECONDS < now
@@ -65,7 +65,7 @@
         return self._failed / len(self._votes)
 
     def clear(self) -> None:
-        """Forget every vote."""
+        """Remove all votes."""
         self._votes.clear()
         self._failed = 0
 
--- a/src/godwitbank/_internal/core/grants.py
+++ b/src/godwitbank/_internal/core/grants.py
@@ -1,18 +1,19 @@
-"""Which entry may use an agent's free slots.
+"""Division of an agent's free slots among entries.
 
-While no entry has work waiting, every entry is told of all free slots, so that
-a start needs no round trip. As soon as one has work waiting, a freed slot is
-offered to the entry with the most urgent waiting task alone, so that entries
-that share an agent serve one common order and don't collide.
+While no entry has waiting work, all free slots are announced to every entry, so that
+a start needs no round trip. As soon as one has waiting work, a freed slot is granted
+only to the entry with the most urgent waiting task, so that entries that share an
+agent follow one common order and don't compete for the same slot.
 """
 
 from typing import NamedTuple
 
 
 class Demand(NamedTuple):
-    """What an entry has waiting.
+    """Waiting work of an entry.
 
-    :param rank: rank of its most urgent task, in the agent's clock.
+    :param waiting: number of waiting tasks.
+    :param rank: rank of the most urgent of them, in the agent's clock.
     """
 
     waiting: int
@@ -20,7 +21,14 @@
 
 
 class EntryShare:
-    """What one entry was told, as the agent knows it."""
+    """State of one entry's share of the slots.
+
+    :ivar announced: slots that the entry may use as far as it was told, less the
+        starts received since.
+    :ivar seen: starts received on the stream.
+    :ivar demand: waiting work that the entry announced, less the starts received
+        since.
+    """
 
     __slots__ = ("announced", "seen", "demand")
 
@@ -37,19 +45,19 @@
         self._shares: dict[int, EntryShare] = {}
 
     def add(self, stream: int) -> None:
-        """Begin to count an entry's stream."""
+        """Add an entry's stream."""
         self._shares[stream] = EntryShare()
 
     def remove(self, stream: int) -> None:
-        """Stop counting an entry's stream."""
+        """Remove an entry's stream."""
         self._shares.pop(stream, None)
 
     def set_demand(self, stream: int, count: int, rank: float) -> None:
-        """Note what an entry has waiting."""
+        """Record the waiting work that an entry announced."""
         self._shares[stream].demand = Demand(count, rank)
 
     def record_start(self, stream: int) -> None:
-        """Note that a start arrived from an entry."""
+        """Record that a start was received from an entry."""
         share = self._shares[stream]
         share.announced -= 1
         share.seen += 1
@@ -57,12 +65,18 @@
             share.demand = Demand(share.demand.waiting - 1, share.demand.rank)
 
     def count_seen(self, stream: int) -> int:
-        """Tell how many starts arrived on a stream."""
+        """Return how many starts were received on a stream."""
         share = self._shares.get(stream)
         return share.seen if share else 0
 
     def divide(self, free: int) -> dict[int, int]:
-        """Decide how many slots each stream may use."""
+        """Divide free slots among the streams.
+
+        Entries with waiting work are served in the order of their ranks; what is
+        left is announced to every entry.
+
+        :return: slots that each stream may use.
+        """
         wanting = sorted(
             (stream for stream, share in self._shares.items() if share.demand.waiting),
             key=lambda stream: self._shares[stream].demand.rank,
@@ -77,7 +91,7 @@
         return allowed
 
     def announce(self, stream: int, free: int) -> int:
-        """Decide and note what one entry is told in a frame sent anyway."""
+        """Return and record the slots to announce in a message that is being sent."""
         share = self._shares.get(stream)
         if share is None:
             return 0
@@ -85,11 +99,12 @@
         return share.announced
 
     def list_changes(self, free: int) -> list[tuple[int, int]]:
-        """List the streams whose view is wrong enough to need a message.
+        """List the streams that need a message now, with the slots to announce.
 
-        An entry that believes in free slots where there are none would collide;
-        one with waiting work that doesn't know of a free slot would idle it.
-        Other differences wait for the next frame.
+        An entry that wrongly expects free slots would send starts that are refused;
+        one that has waiting work and doesn't know of a free slot would leave it idle.
+        Other differences are announced with the next message. The announcements are
+        recorded.
         """
         changes = []
         for stream, allowed in self.divide(free).items():
--- a/src/godwitbank/_internal/core/identity.py
+++ b/src/godwitbank/_internal/core/identity.py
@@ -1,4 +1,4 @@
-"""Who a process is, and the periods both cores share."""
+"""Identity of a process, and the periods that entries and agents share."""
 
 from typing import NamedTuple
 
@@ -6,10 +6,12 @@
 
 
 class Identity(NamedTuple):
-    """Who a process is.
+    """Identity of a process.
 
+    :param process: name of the process.
     :param incarnation: random, new at each start of the process.
-    :param address: ``host:port`` at which others reach its streams.
+    :param address: ``host:port`` at which it accepts streams.
+    :param zone: availability zone of the process.
     """
 
     process: str
@@ -19,7 +21,7 @@
 
 
 def make_hello(identity: Identity, role: str) -> Hello:
-    """Make the frame with which a process introduces itself."""
+    """Make the greeting with which a process introduces itself on a stream."""
     return Hello(
         PROTOCOL_VERSION,
         role,
@@ -31,7 +33,13 @@
 
 
 class Timing(NamedTuple):
-    """Periods shared by both cores, in seconds."""
+    """Periods shared by entries and agents, in seconds.
+
+    :param heartbeat: interval between heartbeats.
+    :param silence: time without a message after which a stream is closed.
+    :param start_window: time after the agent's last reported clock within which a
+        start is valid.
+    """
 
     heartbeat: float = 1.0
     silence: float = 3.0
--- a/src/godwitbank/_internal/core/membership.py
+++ b/src/godwitbank/_internal/core/membership.py
@@ -1,7 +1,7 @@
-"""Agents and entries that one entry has heard of, and whom it dials.
+"""Agents and other entries known to one entry, and the streams it dials to them.
 
-All of it is soft state: learnt from whoever says hello, forgotten after a long
-silence, rebuilt in seconds.
+All of it is soft state: learned from greetings and from other processes, dropped
+after a long time without contact, and rebuilt within seconds.
 """
 
 from collections.abc import Callable
@@ -14,14 +14,14 @@
 
 DISCOVERY_ALONE_SECONDS = 0.5
 DISCOVERY_SECONDS = 10.0
-"""Seconds between looks through the balancer, alone and in company."""
+"""Seconds between dials of the balancer, without and with a connected entry."""
 
 FORGET_SECONDS = 60.0
 """Seconds after which an unreachable agent or entry is no longer dialled."""
 
 
 class Membership:
-    """Who is there, as far as one entry knows."""
+    """Known agents and entries, and their streams."""
 
     def __init__(
         self, identity: Identity, balancer: str, counts: Counts, now: float
@@ -38,36 +38,36 @@
         self._now = now
 
     def begin_event(self, now: float, emit: Callable[[Action], None]) -> None:
-        """Set the time and the sink of actions for the event being handled."""
+        """Set the time, and the function that takes actions, for one event."""
         self._now = now
         self._emit = emit
 
     def is_balancer(self, address: str) -> bool:
-        """Tell whether an address is the balancer's and not a process's."""
+        """Return whether an address is the balancer's rather than a process's."""
         return address == self._balancer
 
     def find_by_stream(self, stream: int) -> AgentView | PeerView | None:
-        """Find who is at the other end of a stream that was dialled."""
+        """Find the process at the remote end of a stream that this entry dialled."""
         return self.agent_streams.get(stream) or self.peer_streams.get(stream)
 
     def list_entries(self) -> list[str]:
-        """List the addresses of this entry and those connected."""
+        """List the addresses of this entry and of the connected ones."""
         connected = [peer.address for peer in self.peers.values() if peer.stream]
         return [self._identity.address, *connected]
 
     def record_agent(self, address: str) -> None:
-        """Note that an agent is there, and dial it."""
+        """Record an agent's address and dial it."""
         view = self.agents.get(address)
         if view is None:
             self.agents[address] = AgentView(address, self._now)
             self._counts.add("agents_learnt")
         elif view.stream is None:
-            # It says that it is there, so don't wait out the dial delay.
+            # The agent is known to be up, so skip the rest of the dial delay.
             view.dial_at = self._now
         self.dial_agents()
 
     def record_peer(self, address: str) -> None:
-        """Note that another entry is there, and dial it."""
+        """Record another entry's address and dial it."""
         if address in (self._identity.address, "") or address in self.peers:
             return
         self.peers[address] = PeerView(address, self._now)
@@ -75,12 +75,12 @@
         self.dial_peers()
 
     def dial_agents(self) -> None:
-        """Dial every agent whose time has come."""
+        """Dial every disconnected agent whose dial delay is over."""
         for view in self.agents.values():
             self._dial(view)
 
     def dial_peers(self) -> None:
-        """Dial every entry whose time has come."""
+        """Dial every disconnected entry whose dial delay is over."""
         for peer in self.peers.values():
             self._dial(peer)
 
@@ -90,16 +90,16 @@
             self._emit(Dial(view.address))
 
     def record_failed_dial(self, address: str) -> None:
-        """Wait longer before the next dial to an address."""
+        """Increase the delay before the next dial to an address."""
         view = self.agents.get(address) or self.peers.get(address)
         if view is not None:
             view.postpone_dial(self._now)
 
     def discover_entries(self) -> None:
-        """Look for entries through the balancer, rarely.
+        """Dial the balancer to discover other entries, if it is due.
 
-        Once one is connected the rest follow from it, so a rare look is enough
-        to heal a split.
+        A connected entry names the others, so infrequent dials suffice to rejoin
+        groups of entries that don't know of each other.
         """
         if not self._balancer or self._now < self._next_discovery:
             return
@@ -110,7 +110,7 @@
         self._emit(Dial(self._balancer))
 
     def forget_peers(self) -> None:
-        """Forget entries that have been silent for long."""
+        """Drop entries that have been unreachable for a long time."""
         for peer in list(self.peers.values()):
             if peer.stream is None and self._now - peer.heard_at > FORGET_SECONDS:
                 del self.peers[peer.address]
--- a/src/godwitbank/_internal/core/parking.py
+++ b/src/godwitbank/_internal/core/parking.py
@@ -1,4 +1,4 @@
-"""Starts that wait at an agent for a slot."""
+"""Starts that are parked at an agent until a slot is free."""
 
 from collections import deque
 from typing import NamedTuple
@@ -8,14 +8,14 @@
 
 
 class Parked(NamedTuple):
-    """A start that waits, and the stream it came on."""
+    """A parked start and the stream on which it was received."""
 
     stream: int
     start: Start
 
 
 class Parking:
-    """A short queue of starts; none of them has started."""
+    """A short first-in, first-out queue of starts whose tasks have not begun."""
 
     def __init__(self) -> None:
         self._waiting: deque[Parked] = deque()
@@ -27,15 +27,15 @@
         return any(parked.start.key == key for parked in self._waiting)
 
     def add(self, stream: int, start: Start) -> None:
-        """Let a start wait."""
+        """Park a start."""
         self._waiting.append(Parked(stream, start))
 
     def pop(self) -> Parked:
-        """Take the start that has waited longest."""
+        """Remove and return the start that was parked first."""
         return self._waiting.popleft()
 
     def take(self, key: TaskKey) -> Parked | None:
-        """Take one start out, if it waits here."""
+        """Remove and return a start, or return ``None`` if it isn't parked."""
         for parked in self._waiting:
             if parked.start.key == key:
                 self._waiting.remove(parked)
@@ -43,7 +43,7 @@
         return None
 
     def take_stream(self, stream: int) -> list[Parked]:
-        """Take out everything that came on a stream."""
+        """Remove and return all starts that were received on a stream."""
         taken = [parked for parked in self._waiting if parked.stream == stream]
         for parked in taken:
             self._waiting.remove(parked)
--- a/src/godwitbank/_internal/core/peers.py
+++ b/src/godwitbank/_internal/core/peers.py
@@ -1,4 +1,4 @@
-"""Other entries, as one entry sees them."""
+"""State of other entries at one entry."""
 
 from godwitbank._internal.core.pool import (
     FIRST_DIAL_DELAY_SECONDS,
@@ -7,7 +7,7 @@
 
 
 class PeerView:
-    """Another entry; soft state."""
+    """State of another entry; soft state, rebuilt from its messages."""
 
     def __init__(self, address: str, now: float) -> None:
         self.address = address
@@ -21,7 +21,7 @@
         self.digest = 0
 
     def connect(self, stream: int, process: str, now: float) -> None:
-        """Note a new stream."""
+        """Record a new stream."""
         self.stream = stream
         self.process = process
         self.heard_at = now
@@ -29,12 +29,12 @@
         self.dial_delay = FIRST_DIAL_DELAY_SECONDS
 
     def disconnect(self, now: float) -> None:
-        """Note that the stream is gone."""
+        """Record that the stream was lost."""
         self.stream = None
         self.dial_at = now + FIRST_DIAL_DELAY_SECONDS
 
     def postpone_dial(self, now: float) -> None:
-        """Note a failed dial."""
+        """Double the delay before the next dial, after one failed."""
         self.dialling = False
         self.dial_at = now + self.dial_delay
         self.dial_delay = min(self.dial_delay * 2, MAX_DIAL_DELAY_SECONDS)
--- a/src/godwitbank/_internal/core/pool.py
+++ b/src/godwitbank/_internal/core/pool.py
@@ -1,4 +1,4 @@
-"""The agents an entry knows, and the choice among them."""
+"""Agents known to one entry, and selection of the agent for the next start."""
 
 import math
 from random import Random
@@ -10,20 +10,24 @@
 MAX_DIAL_DELAY_SECONDS = 2.0
 FIRST_DIAL_DELAY_SECONDS = 0.1
 MIN_RANK_CHANGE_SECONDS = 0.02
-"""Change of rank below which no agent is told."""
+"""Smallest change of the most urgent rank that is announced to agents."""
 
 MIN_ANNOUNCEMENT_INTERVAL_SECONDS = 0.05
-"""Shortest time between two words to one agent about less urgent work."""
+"""Shortest time between announcements to one agent, unless work is more urgent."""
 
 MIN_CHANGE_SHARE = 0.5
-"""Share by which waiting work must change before an agent is told again."""
+"""Relative change of the number of waiting tasks above which it is announced."""
 
 SLOWNESS_WEIGHT = 0.15
-"""Weight of the newest run time in an agent's slowness."""
+"""Weight of the newest run time in the moving average of an agent's slowness."""
 
 
 class OutstandingStart:
-    """A start on its way or running, as its entry knows it."""
+    """A start that was sent and has no result yet, as its entry knows it.
+
+    :param start_by: time limit of the start, in the agent's clock.
+    :param incarnation: incarnation of the agent that it was sent to.
+    """
 
     __slots__ = ("task", "start_by", "sent_at", "incarnation")
 
@@ -37,7 +41,11 @@
 
 
 class AnnouncedDemand:
-    """What an agent was last told of this entry's waiting work."""
+    """Waiting work of this entry, as last announced to an agent.
+
+    :ivar waiting: number of waiting tasks.
+    :ivar rank: rank of the most urgent of them.
+    """
 
     __slots__ = ("waiting", "rank", "announced_at")
 
@@ -47,10 +55,10 @@
         self.announced_at = float("-inf")
 
     def is_stale(self, waiting: int, rank: float, now: float) -> bool:
-        """Tell whether the agent would give a freed slot to the wrong entry.
+        """Return whether the agent might grant a freed slot to the wrong entry.
 
-        More urgent work is told at once, or it would wait behind another
-        entry's large job; what became less urgent or fewer can wait a little.
+        More urgent work is announced immediately, or it would wait behind another
+        entry's large job. Other changes are announced at intervals.
         """
         if not waiting and not self.waiting:
             return False
@@ -65,7 +73,10 @@
         return fewer or rank > self.rank + MIN_RANK_CHANGE_SECONDS
 
     def is_due(self, waiting: int, rank: float, now: float) -> bool:
-        """Tell whether it is worth looking at what each agent was told."""
+        """Return whether the announcement to each agent has to be checked.
+
+        A cheaper check than ``is_stale`` of every agent.
+        """
         if (
             bool(waiting) != bool(self.waiting)
             or rank < self.rank - MIN_RANK_CHANGE_SECONDS
@@ -77,14 +88,23 @@
         )
 
     def record(self, waiting: int, rank: float, now: float) -> None:
-        """Note what the agent is told now."""
+        """Record what is announced now."""
         self.waiting = waiting
         self.rank = rank
         self.announced_at = now
 
 
 class AgentView:
-    """An agent as one entry sees it; soft state, rebuilt by heartbeats."""
+    """State of an agent at one entry; soft state, rebuilt from heartbeats.
+
+    :ivar outstanding: starts that were sent and have no result yet.
+    :ivar clock: the agent's clock as of its last heartbeat, in seconds.
+    :ivar acknowledged: results received since the last heartbeat to the agent.
+    :ivar reported_failure_rate: failure rate that the agent itself observed.
+    :ivar slowness: moving average of the logarithm of run time over class mean.
+    :ivar ejected_until: time at which the ejection ends; 0 if not ejected.
+    :ivar probing: whether the next results decide on reinstatement.
+    """
 
     def __init__(self, address: str, now: float) -> None:
         self.address = address
@@ -119,7 +139,7 @@
         self._sent = 0
 
     def connect(self, stream: int, incarnation: str, clock: float, now: float) -> None:
-        """Note a new stream and the agent's clock."""
+        """Record a new stream and the agent's clock."""
         if incarnation != self.incarnation:
             self.failures.clear()
             self.slowness = 0.0
@@ -138,47 +158,55 @@
         self.set_clock(clock, now)
 
     def disconnect(self, now: float) -> None:
-        """Note that the stream is gone."""
+        """Record that the stream was lost."""
         self.stream = None
         self.lost_at = now
         self.dial_at = now
         self._reported_free = 0
 
     def set_clock(self, clock: float, now: float) -> None:
-        """Note the agent's clock as of its last heartbeat."""
+        """Record the agent's clock, in seconds, and when it was received."""
         self.clock = clock
         self.clock_heard_at = now
 
     def postpone_dial(self, now: float) -> None:
-        """Note a failed dial."""
+        """Double the delay before the next dial, after one failed."""
         self.dialling = False
         self.dial_at = now + self.dial_delay
         self.dial_delay = min(self.dial_delay * 2, MAX_DIAL_DELAY_SECONDS)
 
     def update_free_slots(self, free: int, seen: int) -> None:
-        """Note how many slots this entry may use."""
+        """Record how many slots this entry may use.
+
+        :param free: slots that the agent granted to this entry.
+        :param seen: starts on this stream that the agent had received by then.
+        """
         self._reported_free = free
         self._seen = seen
 
     @property
     def free(self) -> int:
-        """Slots this entry may use now, less the starts still on their way."""
+        """Slots this entry may use now, without those taken by starts in transit."""
         return self._reported_free - (self._sent - self._seen)
 
     def count_sent_start(self) -> None:
-        """Count a start that was just sent."""
+        """Count a start that was sent."""
         self._sent += 1
-        # The agent counts the start off what it was told, too.
+        # On receipt the agent also subtracts the start from the announced demand.
         self.demand.waiting = max(0, self.demand.waiting - 1)
 
     def observe_run(self, run_time: float, mean: float) -> None:
-        """Note a run time against the mean of its class, in seconds."""
+        """Update the slowness from a run time and its class's mean, in seconds."""
         ratio = math.log(max(run_time, 1e-4) / max(mean, 1e-4))
         self.runs += 1
         self.slowness += SLOWNESS_WEIGHT * (ratio - self.slowness)
 
     def is_usable(self, now: float, window: float) -> bool:
-        """Tell whether a start may be sent at all."""
+        """Return whether the agent is connected and serving, and its clock recent.
+
+        :param window: seconds after the agent's reported clock within which a start
+            is valid.
+        """
         return (
             self.stream is not None
             and not self.leaving
@@ -188,7 +216,7 @@
 
 
 class Pool:
-    """Agents of one service, and which of them gets the next start."""
+    """Agents of one service."""
 
     def __init__(self, rng: Random, zone: str, window: float) -> None:
         self.views: list[AgentView] = []
@@ -199,8 +227,10 @@
     def choose(self, now: float, same_zone: bool) -> AgentView | None:
         """Choose the agent with the most free slots for this entry.
 
-        Equals are taken in the entry's own zone first, then at random, so that
-        entries that share agents don't all pick the same one.
+        Ties are broken in favour of the entry's own zone if ``same_zone`` is set,
+        then at random, so that entries that share agents spread their starts.
+
+        :param same_zone: whether to prefer the entry's own availability zone.
         """
         best: AgentView | None = None
         best_score = (0, False, 0.0)
@@ -216,22 +246,22 @@
         return best
 
     def may_send_start(self, view: AgentView, now: float) -> bool:
-        """Tell whether a start may go to an agent now."""
+        """Return whether a start may be sent to an agent now."""
         if not view.is_usable(now, self._window):
             return False
         if view.ejected_until <= 0:
             return True
         if now < view.ejected_until:
             return False
-        # Ejection has run out: one task at a time until it proves itself.
+        # The ejection has ended: send one task at a time until a probe succeeds.
         return not view.outstanding
 
     def count_usable(self, now: float) -> int:
-        """Count agents that could take work, ejected or not."""
+        """Count usable agents, including ejected ones."""
         return sum(view.is_usable(now, self._window) for view in self.views)
 
     def count_slots(self, now: float) -> int:
-        """Count the slots of usable agents."""
+        """Count the slots of all usable agents."""
         return sum(
             view.slots for view in self.views if view.is_usable(now, self._window)
         )
--- a/src/godwitbank/_internal/core/pressure.py
+++ b/src/godwitbank/_internal/core/pressure.py
@@ -1,8 +1,8 @@
-"""Whether a process keeps up with what it is asked, told by how late its loop runs.
+"""Detects an overloaded process by the lag of its event loop.
 
-A process without processor time left doesn't notice by itself: its requests wait in
-sockets, and each turn of its event loop finds more of them and takes longer. Its
-callers notice, as their time is over before they are read.
+A process that has run out of processor time has no other sign of it: requests wait
+in sockets, and each iteration of the event loop finds more of them and takes longer.
+Its callers time out before their requests are read.
 """
 
 import math
@@ -10,43 +10,45 @@
 from typing import NamedTuple
 
 LAG_WINDOW_SECONDS = 0.05
-"""Seconds of which the least lateness counts, so that one long turn does not."""
+"""Window, in seconds, whose smallest lag counts, so that one long iteration of the
+event loop is ignored."""
 
 THROTTLING_PERIOD_SECONDS = 0.1
-"""Seconds that a VM may stand still although it has processor time: an allowance that
-is used up comes anew every tenth of a second."""
+"""Seconds for which a VM may be paused although it isn't overloaded: a CPU quota that
+is used up is refilled every tenth of a second."""
 
 IDLE_LAG_SECONDS = 0.005
-"""Seconds of lateness below which nothing waits. Where that was so within ``ALLOWANCE``
-the queue empties, and a process is behind only by what is later than that."""
+"""Lag, in seconds, below which no event waits. If the lag was this small within
+``THROTTLING_PERIOD_SECONDS``, the queue does empty, and only the lag in excess of that
+period counts as overload."""
 
 OVERLOADED_LAG_SECONDS = 0.03
-"""Seconds of lateness at which a process is behind. A job is read, placed and answered
-in several turns of the loop, each as late; tasks of a tenth of a second are late
-then."""
+"""Lag, in seconds, from which a process is overloaded. A job takes several iterations
+of the event loop to be read, placed and answered, each of them this late; tasks of a
+tenth of a second miss their targets then."""
 
 RECOVERED_LAG_SECONDS = 0.025
-"""Seconds of lateness at which it isn't any more; apart from ``BEHIND``, so that a
-process at the limit doesn't log every change."""
+"""Lag, in seconds, below which the overload is over; lower than
+``OVERLOADED_LAG_SECONDS``, so that a process at the limit doesn't log many changes."""
 
 MEAN_WEIGHT = 0.1
-"""Weight of the newest measurement in the mean: some ten count, a quarter of a second
-of an entry's. Other entries hear of it that often."""
+"""Weight of the newest sample in the mean, which so covers about ten samples: a quarter
+of a second at an entry, the interval at which other entries receive the mean."""
 
 
 class Sample(NamedTuple):
-    """How late a timer fired, in seconds, and when."""
+    """Lag with which a timer fired, in seconds, and the time."""
 
     lag: float
     at: float
 
 
 class PressureChange(NamedTuple):
-    """A process has fallen behind, or caught up.
+    """The process has become overloaded, or has recovered.
 
-    :param event: ``behind`` or ``caught_up``, as the log calls it.
-    :param lag: how late it is, in seconds.
-    :param seconds: how long it was behind.
+    :param event: name of the log event, ``behind`` or ``caught_up``.
+    :param lag: current lag, in seconds.
+    :param seconds: duration of the overload, in seconds; 0 at its beginning.
     """
 
     event: str
@@ -55,12 +57,13 @@
 
 
 class Pressure:
-    """How far a process is behind.
+    """Event loop lag of a process, and whether it is overloaded.
 
-    :ivar lag: least lateness of the last moments.
-    :ivar behind: whether a queue doesn't empty, and makes everything late.
-    :ivar mean: mean lateness of late; it grows with the processor time in use long
-        before anything is late.
+    :ivar lag: smallest lag within ``LAG_WINDOW_SECONDS``, in seconds.
+    :ivar mean: moving average of the lag, in seconds; it grows with processor usage
+        long before the process is overloaded.
+    :ivar overloaded: whether events queue up faster than they are handled.
+    :ivar overloaded_since: time at which the last overload began.
     """
 
     def __init__(self) -> None:
@@ -71,9 +74,10 @@
         self._samples: deque[Sample] = deque()
 
     def observe(self, lag: float, now: float) -> PressureChange | None:
-        """Note how late a timer fired.
+        """Record the lag with which a timer fired.
 
-        :return: whether the process has fallen behind or caught up by it, if either.
+        :param lag: seconds between the time set and the time it fired.
+        :return: the change, if the process became overloaded or recovered.
         """
         self.mean += MEAN_WEIGHT * (lag - self.mean)
         self._samples.append(Sample(lag, now))
--- a/src/godwitbank/_internal/core/queue.py
+++ b/src/godwitbank/_internal/core/queue.py
@@ -1,10 +1,11 @@
-"""Waiting tasks of one service: fair between classes, small jobs first in each.
+"""Waiting tasks of one service: fair between classes, by rank within each.
 
 Between classes, start-time fair queueing (Goyal et al., SIGCOMM 1996): each
 class has a virtual time that advances by run time over weight as its tasks are
-taken, and the class furthest behind goes first. Inside a class jobs go by rank,
-a time before which nobody passes them, so that a small job overtakes a large
-one but never for ever.
+taken, and the class with the lowest virtual time goes first. Within a class,
+jobs are ordered by rank: arrival time plus a multiple of the response time the
+job would have on an idle system. A small job overtakes a large one, but as ranks
+grow with time the large one isn't starved.
 """
 
 import heapq
@@ -15,7 +16,7 @@
 
 
 class BatchKey(NamedTuple):
-    """A job's tasks of one class."""
+    """Identifies the tasks of one class in one job."""
 
     submission: str
     class_name: str
@@ -51,7 +52,12 @@
         self._batches: dict[str, JobBatch] = {}
 
     def add(self, task: Task, sequence: int, front: bool) -> None:
-        """Queue a task, at the front of its batch when it was refused."""
+        """Queue a task.
+
+        :param sequence: order among jobs of equal rank.
+        :param front: whether the task goes before the rest of its job, as one
+            that an agent refused does.
+        """
         job: Job = task.job
         batch = self._batches.get(job.submission)
         if batch is None:
@@ -67,7 +73,7 @@
             heapq.heappush(self._heap, batch)
 
     def peek(self) -> Task | None:
-        """Find the next task without taking it."""
+        """Return the next task without removing it."""
         while self._heap:
             batch = self._heap[0]
             while batch.tasks and batch.tasks[0].state is not TaskState.WAITING:
@@ -79,13 +85,13 @@
         return None
 
     def pop(self, task: Task) -> None:
-        """Take the task that ``peek`` found."""
+        """Remove the task that ``peek`` returned."""
         batch = self._heap[0]
         batch.tasks.popleft()
         self._decrement_counts(task)
 
     def drop(self, task: Task) -> None:
-        """Count a waiting task out; it is skipped when its turn comes."""
+        """Uncount a task that is no longer ``WAITING``; ``peek`` skips it."""
         self._decrement_counts(task)
 
     def _decrement_counts(self, task: Task) -> None:
@@ -97,12 +103,12 @@
             del self._batches[submission]
 
     def count_ahead(self, rank: float) -> int:
-        """Count waiting tasks that go before a rank."""
+        """Count the waiting tasks of this rank or a lower one."""
         return sum(batch.live for batch in self._batches.values() if batch.rank <= rank)
 
 
 class ServiceQueue:
-    """Waiting tasks of one service over all its classes."""
+    """Waiting tasks of one service, in all its classes."""
 
     def __init__(self) -> None:
         self._classes: dict[str, ClassQueue] = {}
@@ -111,7 +117,7 @@
         self.waiting = 0
 
     def set_class(self, name: str, weight: float, mean: float) -> None:
-        """Declare a class or refresh its weight and mean run time."""
+        """Add a class, or update its weight and its mean run time in seconds."""
         queue = self._classes.get(name)
         if queue is None:
             self._classes[name] = ClassQueue(weight, mean)
@@ -120,7 +126,7 @@
         queue.mean = mean
 
     def set_mean(self, name: str, mean: float) -> None:
-        """Refresh the mean run time of a class, in seconds."""
+        """Update the mean run time of a class, in seconds."""
         queue = self._classes.get(name)
         if queue is not None:
             queue.mean = mean
@@ -130,23 +136,23 @@
         return self._classes[name].waiting
 
     def add(self, task: Task, front: bool = False) -> None:
-        """Queue a task."""
+        """Queue a task, at the front of its job if an agent refused it."""
         task.state = TaskState.WAITING
         queue = self._classes[task.spec.class_name]
         if queue.waiting == 0:
-            # A class that was idle must not bank the turns it didn't need.
+            # A class that was idle must not accumulate credit for that time.
             queue.virtual_time = max(queue.virtual_time, self._virtual_time)
         self._sequence += 1
         queue.add(task, self._sequence, front)
         self.waiting += 1
 
     def peek(self) -> Task | None:
-        """Find the task whose turn it is."""
+        """Return the next task without removing it."""
         queue = self._choose()
         return queue.peek() if queue else None
 
     def pop(self) -> Task | None:
-        """Take the task whose turn it is."""
+        """Remove and return the next task."""
         queue = self._choose()
         if queue is None:
             return None
@@ -160,22 +166,22 @@
         return task
 
     def drop(self, task: Task) -> None:
-        """Take a waiting task out without running it."""
+        """Remove a task without running it; its state must not be ``WAITING``."""
         self._classes[task.spec.class_name].drop(task)
         self.waiting -= 1
 
     def measure_backlog(self) -> float:
-        """Tell the seconds of work waiting."""
+        """Measure the waiting work, in seconds of mean run time."""
         return sum(queue.waiting * queue.mean for queue in self._classes.values())
 
     def measure_ahead(self, rank: float) -> float:
-        """Tell the seconds of waiting work that goes before a rank."""
+        """Measure the waiting work up to a rank, in seconds of mean run time."""
         return sum(
             queue.count_ahead(rank) * queue.mean for queue in self._classes.values()
         )
 
     def find_rank(self) -> float | None:
-        """Tell the rank of the task whose turn it is."""
+        """Return the rank of the next task, or ``None`` if no task waits."""
         task = self.peek()
         return task.job.rank if task else None
 
--- a/src/godwitbank/_internal/core/quota.py
+++ b/src/godwitbank/_internal/core/quota.py
@@ -1,16 +1,16 @@
-"""A team's quota of task starts, divided among entries by observed demand."""
+"""A team's quota of task starts, divided among entries by their demand."""
 
 from typing import NamedTuple
 
 DEMAND_HALF_LIFE_SECONDS = 2.0
-"""Seconds in which a past demand counts half."""
+"""Half-life, in seconds, of the demand estimate."""
 
 BASE_DEMAND_STARTS_PER_SECOND = 1.0
-"""Starts a second added to each entry's demand, so that none has no share."""
+"""Added to each entry's demand, so that an idle entry still has a share."""
 
 
 class PeerDemand(NamedTuple):
-    """What another entry said of its demand, in starts a second."""
+    """Demand that another entry reported, in starts per second."""
 
     demand: float
     heard_at: float
@@ -19,8 +19,12 @@
 class Quota:
     """Token bucket of one service at one entry.
 
-    A job larger than the bucket may run the bucket into debt, since it can't
-    be admitted in part; later submissions wait until the debt is paid.
+    A job can't be admitted in part, so one with more tasks than there are tokens
+    makes the balance negative; later submissions are refused until it is positive.
+
+    :param rate: starts per second of all entries together; 0 for no limit.
+    :param burst: seconds of unused quota that the bucket holds.
+    :ivar demand: estimated starts per second that this entry's callers ask for.
     """
 
     PEER_DEMAND_LAPSE_SECONDS = 5.0
@@ -35,18 +39,18 @@
         self._peers: dict[str, PeerDemand] = {}
 
     def configure(self, rate: float, burst: float) -> None:
-        """Put a new quota in force."""
+        """Apply a changed quota; the bucket starts full when a limit is introduced."""
         if rate > 0 >= self.rate:
             self._tokens = rate * burst
         self.rate = rate
         self.burst = burst
 
     def update_peer_demand(self, peer: str, demand: float, now: float) -> None:
-        """Note another entry's demand."""
+        """Record the demand that another entry reported, in starts per second."""
         self._peers[peer] = PeerDemand(demand, now)
 
     def measure_share(self, now: float) -> float:
-        """Tell this entry's share of the quota, 0 to 1."""
+        """Return this entry's share of the quota, 0 to 1."""
         others = [
             peer.demand + BASE_DEMAND_STARTS_PER_SECOND
             for peer in self._peers.values()
@@ -56,9 +60,9 @@
         return own / (own + sum(others))
 
     def take_tokens(self, starts: int, now: float) -> float:
-        """Take tokens for a submission.
+        """Take one token for each start of a submission.
 
-        :return: 0 when admitted, else seconds after which to come back.
+        :return: 0 if admitted, else seconds after which the caller may retry.
         """
         self._record_demand(starts, now)
         if self.rate <= 0:
--- a/src/godwitbank/_internal/core/recalls.py
+++ b/src/godwitbank/_internal/core/recalls.py
@@ -1,4 +1,4 @@
-"""Questions to agents about requests that were claimed before."""
+"""Queries to agents for the results of requests that were claimed before."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -7,11 +7,16 @@
 from godwitbank._internal.models.messages import Verdict
 
 ANSWER_TIMEOUT_SECONDS = 1.0
-"""Seconds agents have to answer."""
+"""Seconds that agents have to answer."""
 
 
 class PendingRecall:
-    """One task's question, open until every asked agent has answered."""
+    """A task's query, pending until every queried agent has answered.
+
+    :ivar unanswered: agents that have yet to answer.
+    :ivar running: whether an agent answered that the request is running.
+    :ivar expires: time at which the query times out.
+    """
 
     __slots__ = ("task", "unanswered", "running", "expires")
 
@@ -23,9 +28,10 @@
 
 
 class RecallProgress(NamedTuple):
-    """What an agent's answer means for one task.
+    """State of a task's query after an agent's answer.
 
-    :param settled: whether no further answer will come.
+    :param running: whether any agent has answered that the request is running.
+    :param resolved: whether all queried agents have answered.
     """
 
     task: Task
@@ -34,19 +40,22 @@
 
 
 class Recalls:
-    """Open questions by claim key."""
+    """Pending queries by claim key."""
 
     def __init__(self) -> None:
         self._pending: dict[str, list[PendingRecall]] = {}
 
     def request(self, key: str, task: Task, agent_count: int, now: float) -> float:
-        """Open a question; returns the time at which it expires."""
+        """Add a query to a number of agents.
+
+        :return: time at which it expires.
+        """
         recall = PendingRecall(task, agent_count, now + ANSWER_TIMEOUT_SECONDS)
         self._pending.setdefault(key, []).append(recall)
         return recall.expires
 
     def handle_answer(self, key: str, verdict: str) -> Iterator[RecallProgress]:
-        """Count one agent's answer for every task that asked."""
+        """Count one agent's answer for every task whose query has this key."""
         for recall in self._pending.pop(key, []):
             recall.unanswered -= 1
             recall.running = recall.running or verdict == Verdict.RUNNING
@@ -56,7 +65,10 @@
             yield RecallProgress(recall.task, recall.running, resolved)
 
     def take_expired(self, job: Job, now: float) -> list[Task]:
-        """Close a job's questions that agents did not answer in time."""
+        """Remove the expired queries of a job and return their tasks.
+
+        Queries whose task is no longer ``RECALLING`` are removed as well.
+        """
         expired = []
         for key in list(self._pending):
             open_recalls = []
--- a/src/godwitbank/_internal/core/service.py
+++ b/src/godwitbank/_internal/core/service.py
@@ -1,4 +1,4 @@
-"""One service at one entry: its document, queue, agents and observations."""
+"""State of one service at one entry: document, queue, agents and statistics."""
 
 from random import Random
 from typing import NamedTuple
@@ -13,23 +13,24 @@
 from godwitbank._internal.models.tasks import Submission
 
 PEER_BACKLOG_LAPSE_SECONDS = 3.0
-"""Seconds after which a peer's word about its backlog is out of date."""
+"""Seconds after which a peer's reported backlog is ignored."""
 
 USABLE_DEADLINE_SHARE = 0.9
-"""Part of the time to a deadline that admission may count on."""
+"""Share of the time to a deadline that admission may plan with."""
 
 
 class PeerBacklog(NamedTuple):
-    """Work another entry said it has waiting."""
+    """Waiting work that another entry reported, in seconds of run time."""
 
     seconds: float
     heard_at: float
 
 
 class Refusal(NamedTuple):
-    """Why a submission is not admitted.
+    """Reason for which a submission is not admitted.
 
-    :param retry_after: seconds, or ``None`` when time alone won't help.
+    :param retry_after: seconds after which the caller may retry, or ``None`` if
+        waiting won't help.
     """
 
     reason: Reason
@@ -60,38 +61,41 @@
         self.configure(installed)
 
     def configure(self, installed: InstalledDocument) -> None:
-        """Put a document in force."""
+        """Apply a document: quota, classes and weights."""
         self.document = installed.document
         quota = installed.document.quota
         self.quota.configure(quota.starts_per_second, quota.burst)
-        for name, table in installed.document.classes.items():
+        for name, class_table in installed.document.classes.items():
             if name not in self.statistics:
-                self.statistics[name] = ClassStatistics(table)
-            self.queue.set_class(name, table.weight, self.statistics[name].mean)
+                self.statistics[name] = ClassStatistics(class_table)
+            self.queue.set_class(name, class_table.weight, self.statistics[name].mean)
 
     def observe_run_time(self, class_name: str, run_time: float) -> None:
-        """Note a run time, in seconds."""
+        """Record a run time of a class, in seconds."""
         statistics = self.statistics.get(class_name)
         if statistics is not None:
             statistics.observe_run_time(run_time)
             self.queue.set_mean(class_name, statistics.mean)
 
     def estimate_ideal(self, submission: Submission, now: float) -> float:
-        """Estimate a submission's response on an idle system, in seconds."""
+        """Estimate a submission's response time on an idle system, in seconds."""
         means = [self.statistics[task.class_name].mean for task in submission.tasks]
         slots = self.pool.count_slots(now) or 1
         return max(max(means), sum(means) / slots)
 
     def compute_rank(self, submission: Submission, now: float) -> float:
-        """Set the time before which nobody passes a submission."""
+        """Compute a submission's rank: the time by which waiting work is ordered.
+
+        Work that arrives after this time can't overtake the submission.
+        """
         stretch = self.document.policy.stretch
         return now + stretch * self.estimate_ideal(submission, now)
 
     def estimate_wait(self, rank: float, now: float) -> float:
-        """Estimate how long work of a rank would wait, in seconds.
+        """Estimate how long work of a given rank would wait, in seconds.
 
-        Other entries' work goes to the same slots, so this entry's backlog is
-        scaled by theirs.
+        Other entries' work runs in the same slots, so the work ahead of the rank
+        is scaled up in the proportion of their backlogs to this entry's.
         """
         own = self.queue.measure_backlog()
         ahead = self.queue.measure_ahead(rank)
@@ -105,7 +109,7 @@
         return ahead / (self.pool.count_slots(now) or 1)
 
     def check_admission(self, submission: Submission, now: float) -> Refusal | None:
-        """Say why a submission can't be admitted, or ``None``."""
+        """Return why a submission can't be admitted, or ``None`` if it can."""
         refusal = self._check_tasks(submission)
         if refusal is not None:
             return refusal
@@ -130,20 +134,20 @@
 
     def _check_tasks(self, submission: Submission) -> Refusal | None:
         for index, task in enumerate(submission.tasks):
-            table = self.document.classes.get(task.class_name)
-            if table is None:
+            class_table = self.document.classes.get(task.class_name)
+            if class_table is None:
                 known = ", ".join(sorted(self.document.classes))
                 detail = f"task {index}: class {task.class_name!r} is not of: {known}"
                 return Refusal(Reason.UNKNOWN_CLASS, detail, None)
-            if not table.idempotent and not task.request_id:
+            if not class_table.idempotent and not task.request_id:
                 detail = f"task {index}: class {task.class_name!r} needs a request id"
                 return Refusal(Reason.MISSING_REQUEST_ID, detail, None)
         return None
 
     def _check_bounds(self, submission: Submission) -> Refusal | None:
         for name in {task.class_name for task in submission.tasks}:
-            table = self.document.classes[name]
-            if self.queue.count(name) >= table.queue_tasks:
+            class_table = self.document.classes[name]
+            if self.queue.count(name) >= class_table.queue_tasks:
                 waiting = self.queue.count(name)
                 wait = waiting * self.statistics[name].mean
                 return Refusal(
@@ -155,7 +159,7 @@
         return not any(view.lost_at is not None for view in self.pool.views)
 
     def drop_waiting(self, tasks: list) -> None:
-        """Take a failed job's waiting tasks out of the queue."""
+        """Remove a failed job's waiting tasks from the queue."""
         for task in tasks:
             if task.state is TaskState.WAITING:
                 task.state = TaskState.DROPPED
--- a/src/godwitbank/_internal/core/task_history.py
+++ b/src/godwitbank/_internal/core/task_history.py
@@ -1,10 +1,10 @@
-"""What an agent remembers of tasks: the last gate before a start.
+"""An agent's records of tasks: the last check against starting a task twice.
 
-A task may start only if this memory has no trace of an earlier start of it.
-Forgetting is therefore dangerous in one direction: if a record of a started
-task is dropped and an entry then asks about it, "never started" would be false
-and the task would run twice. So whatever is forgotten raises a watermark, and
-a question about a start as old as the watermark is answered "unknown".
+A task may start only if there is no record of an earlier start of it. If the record
+of a started task has been dropped and an entry queries the task, the answer "never
+started" would be false and the task would run twice. So dropping a record raises a
+watermark to its start bound, and a query about a start with a bound no later than
+the watermark is answered with "unknown".
 """
 
 from collections import OrderedDict
@@ -16,30 +16,33 @@
 from godwitbank._internal.models.tasks import TaskKey
 
 RETENTION_SECONDS = 60.0
-"""Seconds a record outlives its start bound."""
+"""Seconds for which a record is kept after its start bound."""
 
 REQUEST_RETENTION_SECONDS = 600.0
-"""Seconds an answer to a non-idempotent request can be asked for again."""
+"""Seconds for which the result of a non-idempotent request can be recalled."""
 
 MAX_RECORDS = 100_000
-"""Most records; beyond it the oldest go and the watermark rises."""
+"""Most records; above it the oldest are dropped and the watermark rises."""
 
 MAX_REQUESTS = 2_000
-"""Most non-idempotent answers kept to be asked for again."""
+"""Most results of non-idempotent requests kept to be recalled."""
 
 MAX_REQUEST_BYTES = 32 * 1024 * 1024
-"""Most bytes of such answers; one alone may be megabytes."""
+"""Most bytes of such results together; a single one may have megabytes."""
 
 
 class TaskName(NamedTuple):
-    """A task without its attempt."""
+    """Identifies a task, whatever the attempt."""
 
     submission: str
     position: int
 
 
 class RecordState(Enum):
-    """What is known of a task here."""
+    """State of a task at this agent.
+
+    ``FENCED`` means that the recorded attempt and earlier ones never start here.
+    """
 
     FENCED = auto()
     RUNNING = auto()
@@ -47,7 +50,12 @@
 
 
 class TaskRecord:
-    """One task's trace."""
+    """Record of one task.
+
+    :ivar start_by: time after which the attempt must not start.
+    :ivar ending: result, until the entry has acknowledged it.
+    :ivar entry: incarnation of the entry that sent the start.
+    """
 
     __slots__ = ("attempt", "state", "start_by", "ending", "entry")
 
@@ -62,7 +70,11 @@
 
 
 class TaskHistory:
-    """Records of started and fenced tasks, bounded in time and number."""
+    """Records of started and fenced tasks, limited in age and number.
+
+    :param retention: seconds for which a record is kept after its start bound.
+    :param max_records: most records.
+    """
 
     def __init__(
         self, retention: float = RETENTION_SECONDS, max_records: int = MAX_RECORDS
@@ -84,7 +96,7 @@
         return self._records.get(TaskName(key.submission, key.position))
 
     def fence(self, key: TaskKey, start_by: float, entry: str) -> None:
-        """Note that this attempt and all before it never start here."""
+        """Record that this attempt and all earlier ones never start here."""
         name = TaskName(key.submission, key.position)
         record = self._records.get(name)
         if record is None:
@@ -97,7 +109,7 @@
             record.start_by = max(record.start_by, start_by)
 
     def is_fenced(self, key: TaskKey) -> bool:
-        """Tell whether this very attempt was declared never to start."""
+        """Return whether this attempt was declared never to start."""
         record = self.find(key)
         return (
             record is not None
@@ -108,7 +120,7 @@
     def record_start(
         self, key: TaskKey, start_by: float, entry: str, request_id: str, now: float
     ) -> None:
-        """Note a start; the caller has checked that it is allowed."""
+        """Record a start; the caller has checked that it is allowed."""
         name = TaskName(key.submission, key.position)
         self._records.pop(name, None)
         self._records[name] = TaskRecord(
@@ -119,7 +131,10 @@
             self._request_times[request_id] = now
 
     def record_end(self, ending: RunEnded, request_id: str) -> TaskRecord | None:
-        """Note how a started task ended."""
+        """Record the result of a started task.
+
+        :return: the task's record, if there is one.
+        """
         record = self.find(ending.key)
         if record is not None:
             record.state = RecordState.FINISHED
@@ -130,13 +145,13 @@
         return record
 
     def acknowledge(self, key: TaskKey) -> None:
-        """Drop an answer its entry has; the trace of the start stays."""
+        """Drop a result that its entry has received; the record of the start stays."""
         record = self.find(key)
         if record is not None:
             record.ending = None
 
     def resolve(self, key: TaskKey, start_by: float, entry: str) -> Verdict:
-        """Say what became of a start, fencing it if it never arrived."""
+        """Return the state of a start, and fence it if it was never received."""
         record = self.find(key)
         if record is None:
             if start_by <= self._watermark:
@@ -151,11 +166,11 @@
         return Verdict.FENCED
 
     def has_request(self, request_id: str) -> bool:
-        """Tell whether a non-idempotent request was started here."""
+        """Return whether a non-idempotent request was started here."""
         return request_id in self._requests
 
     def recall(self, request_id: str) -> tuple[Verdict, RunEnded | None]:
-        """Find the remembered ending of a non-idempotent request."""
+        """Find the state of a non-idempotent request, and its result if finished."""
         if request_id not in self._requests:
             return Verdict.UNKNOWN, None
         ending = self._request_endings.get(request_id)
@@ -164,15 +179,15 @@
         return Verdict.FINISHED, ending
 
     def expire(self, now: float) -> None:
-        """Forget what is old enough, raising the watermark for started tasks."""
+        """Drop old and excess records, raising the watermark to their start bounds."""
         while self._records:
             name, record = next(iter(self._records.items()))
             old = record.start_by + self._retention < now
             if not old and len(self._records) <= self._max_records:
                 break
             if record.state is RecordState.RUNNING:
-                # A running task's trace is the only thing that can answer for
-                # it; it moves to the end and is looked at again later.
+                # The record of a running task must stay, as nothing else can answer
+                # queries about the task; it moves to the end and is checked later.
                 self._records.move_to_end(name)
                 if old or all(
                     each.state is RecordState.RUNNING for each in self._records.values()
--- a/src/godwitbank/_internal/core/work.py
+++ b/src/godwitbank/_internal/core/work.py
@@ -1,4 +1,4 @@
-"""Jobs in flight at one entry."""
+"""Jobs in flight at one entry, their tasks, and run times of classes."""
 
 from enum import Enum, auto
 
@@ -8,7 +8,7 @@
 
 
 class TaskState(Enum):
-    """Where a task stands."""
+    """State of a task at its entry."""
 
     NEW = auto()
     CLAIMING = auto()
@@ -20,7 +20,12 @@
 
 
 class Task:
-    """One task of a job in flight."""
+    """One task of a job in flight.
+
+    :ivar key: key of the latest attempt.
+    :ivar refusals: times that an agent refused to start the task.
+    :ivar claim: token of the task's claim; empty if it has none.
+    """
 
     __slots__ = ("job", "index", "spec", "state", "attempt", "key", "refusals", "claim")
 
@@ -35,7 +40,7 @@
         self.claim = ""
 
     def begin_attempt(self) -> TaskKey:
-        """Name the next attempt; a key is sent at most once."""
+        """Begin the next attempt and return its key; no key is sent twice."""
         self.attempt += 1
         self.key = TaskKey(self.job.submission, self.index, self.attempt)
         self.state = TaskState.SENT
@@ -43,7 +48,13 @@
 
 
 class Job:
-    """A submission in flight: every task, and what is known of it."""
+    """A submission in flight.
+
+    :ivar answers: answer of each task, ``None`` while it is missing.
+    :ivar unanswered: number of tasks without an answer.
+    :ivar started: number of tasks that were sent to an agent and not requeued.
+    :ivar rank: time by which waiting jobs are ordered.
+    """
 
     __slots__ = (
         "submission",
@@ -71,9 +82,9 @@
         self.started = 0
 
     def add_answer(self, task: Task, answer: TaskAnswer) -> bool:
-        """Join one answer.
+        """Add the answer of one task.
 
-        :return: whether the job is now complete.
+        :return: whether the job is complete.
         """
         task.state = TaskState.ANSWERED
         self.answers[task.index] = answer
@@ -82,11 +93,13 @@
 
 
 class ClassStatistics:
-    """Observed run times of one class; declared ones are off by ten times.
+    """Mean of observed run times of one class; declared ones are off by ten times.
+
+    The mean covers many runs on purpose. Entries order work by multiples of it, and
+    a mean over few runs differs so much between entries that small jobs of one entry
+    waited seconds behind those of another (see the note on ranks in ``docs/design``).
 
-    A long average on purpose: entries order work by multiples of this mean, and
-    a quick one differs so much between them that one entry's small jobs waited
-    seconds behind another's (see the note on ranks in ``docs/design``).
+    :ivar mean: mean run time, in seconds.
     """
 
     __slots__ = ("mean", "_samples")
@@ -99,6 +112,6 @@
         self._samples = self.DECLARED_SAMPLES
 
     def observe_run_time(self, run_time: float) -> None:
-        """Note one run time, in seconds."""
+        """Record one run time, in seconds."""
         self._samples = min(self._samples + 1, self.MAX_SAMPLES)
         self.mean += (run_time - self.mean) / self._samples
--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -96,7 +96,7 @@
     Break(
         "claims skipped",
         f"{CORE}/dispatch.py",
-        "        if table.idempotent:\n            service.queue.add(task)",
+        "        if class_table.idempotent:\n            service.queue.add(task)",
         "        if True:\n            service.queue.add(task)",
         f"{FAILURES}/test_requests.py::test_two_entries_at_once_run_it_once",
     ),
