--- a/src/godwitbank/_internal/core/agent.py
+++ b/src/godwitbank/_internal/core/agent.py
@@ -144,10 +144,10 @@
     @property
     def slots(self) -> int:
         """Tasks that may run at once: the lower limit of endpoint and document."""
-        held = self.catalog.find(self.service)
-        if held is None:
+        installed = self.catalog.find(self.service)
+        if installed is None:
             return self._endpoint_lease.slots
-        return min(self._endpoint_lease.slots, held.document.endpoint.slots)
+        return min(self._endpoint_lease.slots, installed.document.endpoint.slots)
 
     @property
     def next_wakeup(self) -> float:
@@ -247,7 +247,8 @@
             self.counts.add("starts_ignored", "duplicate")
             return
         if start.request_id and self.history.has_request(start.request_id):
-            # The claim should have prevented this start; refuse it as a last check.
+            # The claim should have prevented this start. As a last check, don't run
+            # the task.
             self.counts.add("starts_ignored", "request_seen")
             self._send(entry.stream, Resolved(start.key, Verdict.UNKNOWN))
             return
@@ -290,11 +291,11 @@
         return None
 
     def _parked_limit(self) -> int:
-        held = self.catalog.find(self.service)
-        if held is None:
+        installed = self.catalog.find(self.service)
+        if installed is None:
             return DEFAULT_PARKED
-        policy = held.document.policy
-        limit = held.document.endpoint.parked
+        policy = installed.document.policy
+        limit = installed.document.endpoint.parked
         return limit if policy.message_weight > 0 else 0
 
     def _refuse_start(self, stream: int, start: Start, reason: Refusal) -> None:
@@ -473,8 +474,8 @@
     # Configuration
 
     def _list_revisions(self) -> list[list[str | int]]:
-        held = self.catalog.list_revisions().items()
-        return [[service, revision] for service, revision in held]
+        installed = self.catalog.list_revisions().items()
+        return [[service, revision] for service, revision in installed]
 
     def _install_document(self, entry: EntryStream, document: Document) -> None:
         del entry
@@ -488,8 +489,10 @@
 
     def _handle_revisions(self, entry: EntryStream, revisions: Revisions) -> None:
         theirs = {str(pair[0]): int(pair[1]) for pair in revisions.held}
-        for service, held in self.catalog.list_newer(theirs):
-            self._send(entry.stream, Document(service, held.revision, held.text))
+        for service, installed in self.catalog.list_newer(theirs):
+            self._send(
+                entry.stream, Document(service, installed.revision, installed.text)
+            )
 
     # Heartbeats
 
@@ -505,10 +508,10 @@
         )
 
     def _handle_heartbeat(self, entry: EntryStream, heartbeat: Heartbeat) -> None:
-        done = heartbeat.acknowledged
-        while entry.unacknowledged and done > 0:
+        remaining = heartbeat.acknowledged
+        while entry.unacknowledged and remaining > 0:
             self.history.acknowledge(entry.unacknowledged.popleft())
-            done -= 1
+            remaining -= 1
         if heartbeat.digest != self.catalog.digest:
             self._send(entry.stream, Revisions(self._list_revisions()))
         self._check_drained()
--- a/src/godwitbank/_internal/core/dispatch.py
+++ b/src/godwitbank/_internal/core/dispatch.py
@@ -89,17 +89,17 @@
 
     def configure(self, name: str) -> None:
         """Apply the catalog's document of a service."""
-        held = self._catalog.find(name)
-        if held is None:
+        installed = self._catalog.find(name)
+        if installed is None:
             return
         service = self.services.get(name)
         if service is None:
             window = self._timing.start_window
             self.services[name] = Service(
-                held, self._rng, self._zone, window, self._now
+                installed, self._rng, self._zone, window, self._now
             )
         else:
-            service.configure(held)
+            service.configure(installed)
 
     # Submissions
 
@@ -346,8 +346,9 @@
                 ejection.reinstate(view)
                 self._counts.add("reinstated")
         elif failed:
-            # Slowness is checked at heartbeats only: comparing with every peer
-            # after every answer took a third of the core's processor time.
+            # Without a failure this check, which finds slow agents too, waits for the
+            # next heartbeat: comparing with every peer after every answer took a
+            # third of the core's time.
             self.eject_if_unhealthy(view, service)
 
     def eject_if_unhealthy(self, view: AgentView, service: Service) -> None:
--- a/src/godwitbank/_internal/core/entry.py
+++ b/src/godwitbank/_internal/core/entry.py
@@ -177,13 +177,13 @@
         if view.stream is not None:
             self._actions.append(CloseStream(view.stream, "replaced"))
             self.membership.agent_streams.pop(view.stream, None)
-        same = view.incarnation == welcome.incarnation
+        same_incarnation = view.incarnation == welcome.incarnation
         view.process = welcome.process
         view.zone = welcome.zone
         view.connect(event.stream, welcome.incarnation, welcome.clock, self._now)
         self.membership.agent_streams[event.stream] = view
         self.counts.add("streams_opened", Role.AGENT)
-        if same:
+        if same_incarnation:
             self._query_outstanding(view)
         else:
             self._mark_outstanding_unknown(view, "the agent was restarted")
@@ -192,8 +192,8 @@
     def _query_outstanding(self, view: AgentView) -> None:
         for key, sent in view.outstanding.items():
             self.counts.add("resolves_sent")
-            question = Resolve(key, sent.incarnation, sent.start_by)
-            self._send(view.stream or 0, question)
+            query = Resolve(key, sent.incarnation, sent.start_by)
+            self._send(view.stream or 0, query)
 
     def _mark_outstanding_unknown(self, view: AgentView, detail: str) -> None:
         outstanding = list(view.outstanding.values())
@@ -287,9 +287,9 @@
 
     def _handle_endpoint_state(self, view: AgentView, state: EndpointState) -> None:
         if view.service != state.service:
-            old = self.dispatcher.services.get(view.service)
-            if old is not None and view in old.pool.views:
-                old.pool.views.remove(view)
+            previous = self.dispatcher.services.get(view.service)
+            if previous is not None and view in previous.pool.views:
+                previous.pool.views.remove(view)
         view.service = state.service
         view.slots = state.slots
         view.leaving = state.leaving
@@ -349,8 +349,8 @@
     # Configuration
 
     def _list_revisions(self) -> list[list[str | int]]:
-        held = self.catalog.list_revisions().items()
-        return [[service, revision] for service, revision in held]
+        installed = self.catalog.list_revisions().items()
+        return [[service, revision] for service, revision in installed]
 
     def _handle_document_read(self, event: DocumentRead) -> None:
         self._install_document(event.service, event.revision, event.text)
@@ -390,8 +390,8 @@
 
     def _send_newer_documents(self, stream: int, revisions: Revisions) -> None:
         theirs = {str(pair[0]): int(pair[1]) for pair in revisions.held}
-        for service, held in self.catalog.list_newer(theirs):
-            self._send(stream, Document(service, held.revision, held.text))
+        for service, installed in self.catalog.list_newer(theirs):
+            self._send(stream, Document(service, installed.revision, installed.text))
 
     def list_revisions_of(self, view: AgentView | PeerView) -> dict[str, int]:
         """List the revisions that another process last reported to hold.
--- a/src/godwitbank/_internal/core/pressure.py
+++ b/src/godwitbank/_internal/core/pressure.py
@@ -14,8 +14,8 @@
 event loop is ignored."""
 
 THROTTLING_PERIOD_SECONDS = 0.1
-"""Seconds for which a VM may be paused although it isn't overloaded: a CPU quota that
-is used up is refilled every tenth of a second."""
+"""Longest pause, in seconds, of a VM that isn't short of processor time: a used-up CPU
+quota is refilled every tenth of a second."""
 
 IDLE_LAG_SECONDS = 0.005
 """Lag, in seconds, below which no event waits. If the lag was this small within
--- a/src/godwitbank/_internal/core/service.py
+++ b/src/godwitbank/_internal/core/service.py
@@ -115,7 +115,7 @@
             return refusal
         if self.pool.count_usable(now) == 0 and self._has_no_lost_agent(now):
             return Refusal(Reason.NO_ENDPOINT, "no endpoint announced itself", 2.0)
-        refusal = self._check_bounds(submission)
+        refusal = self._check_queue_limits(submission)
         if refusal is not None:
             return refusal
         ideal = self.estimate_ideal(submission, now)
@@ -144,7 +144,7 @@
                 return Refusal(Reason.MISSING_REQUEST_ID, detail, None)
         return None
 
-    def _check_bounds(self, submission: Submission) -> Refusal | None:
+    def _check_queue_limits(self, submission: Submission) -> Refusal | None:
         for name in {task.class_name for task in submission.tasks}:
             class_table = self.document.classes[name]
             if self.queue.count(name) >= class_table.queue_tasks:
--- a/tests/core/test_claims.py
+++ b/tests/core/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims: grouped, retried as they were, and taken back when abandoned."""
+"""Tests that claims are batched, retried unchanged and superseded when abandoned."""
 
 from godwitbank._internal.core.claims import (
     MAX_BATCH_CLAIMS,
@@ -8,7 +8,7 @@
 )
 
 
-def test_claims_that_wait_go_out_together() -> None:
+def test_waiting_claims_are_written_in_one_batch() -> None:
     claims = Claims()
     claims.request("k0", "t0", 0.0)
     first = claims.next_batch(0.0, 1)
@@ -32,7 +32,7 @@
     assert len(batch.claims) == MAX_BATCH_CLAIMS
 
 
-def test_a_batch_without_an_answer_goes_out_again_as_it_was() -> None:
+def test_an_unanswered_batch_is_written_again_unchanged() -> None:
     claims = Claims()
     claims.request("k", "t", 0.0)
     batch = claims.next_batch(0.0, 1)
@@ -47,13 +47,12 @@
     assert not claims.failing
 
 
-def test_an_abandoned_claim_is_taken_back_by_the_same_entry() -> None:
-    """A request was refused as not run; its claim took effect all the same.
+def test_an_entry_supersedes_its_own_abandoned_claim() -> None:
+    """Guards against a request id that is refused as a duplicate forever.
 
-    Symptom: the caller comes back as told, and hears "duplicate" for ever.
-    Sequence: the claim is written, its answer is lost, the request is refused;
-    the caller submits the same id again.
-    Cause: the row still holds the token of a task that can never start.
+    A claim is written, but its answer is lost and the request is refused as not run.
+    When the caller submits the id again as told, the row still holds the token of a
+    task that can never start.
     """
     claims = Claims()
     claims.request("k", "old", 0.0)
@@ -70,12 +69,11 @@
     assert claims.find_holder("k") == "new"
 
 
-def test_entries_share_the_tables_writes() -> None:
-    """Every entry writes claims as fast as the table answers.
+def test_entries_share_the_write_rate_of_the_table() -> None:
+    """Guards against an overloaded table, which makes every claim slow.
 
-    Symptom: the table is overrun, every claim becomes slow.
-    Sequence: a hundred entries each write the next batch at once.
-    Cause: a budget that no entry divides by their number.
+    It happens when each of a hundred entries writes its next batch immediately,
+    because no entry divides the table's write rate by the number of entries.
     """
     claims = Claims()
     writes = 0
--- a/tests/core/test_dispatch.py
+++ b/tests/core/test_dispatch.py
@@ -1,4 +1,4 @@
-"""From submission to answer, in one entry's core."""
+"""Tests of submissions at one entry's core, from admission to answer."""
 
 from godwitbank._internal.core.events import Submitted
 from godwitbank._internal.models.outcomes import Complete, Failed, Ran, Reason
@@ -6,13 +6,12 @@
 from tests.lib.world import World
 
 
-def test_a_job_that_fails_while_it_enters_leaves_nothing_behind() -> None:
-    """A job's first task can't be claimed; the rest wait on.
+def test_a_job_that_fails_during_admission_leaves_no_task_queued() -> None:
+    """Guards against running tasks of a job that has already failed.
 
-    Symptom: endpoints run tasks of a job whose caller has been told it failed.
-    Sequence: a request id is used a second time, in a job with other tasks, while
-    no agent is connected to be asked about it; then the agent comes back.
-    Cause: the job failed at its first task, and the others were queued after.
+    A request id is used a second time, in a job with other tasks, while no agent is
+    connected that could be queried about it. The job fails at its first task; if
+    the others are queued afterwards, they run once the agent reconnects.
     """
     world = World(entries=1, agents=1)
     world.submit("entry-0", 1, "k1")
--- a/tests/core/test_ejection.py
+++ b/tests/core/test_ejection.py
@@ -1,4 +1,4 @@
-"""Ejection: within a cap, against peers, and back by probes."""
+"""Tests of ejection: limited share, comparison with peers, reinstatement by probes."""
 
 from random import Random
 
@@ -17,21 +17,21 @@
     return pool
 
 
-def _fail(view: AgentView, votes: int = 6) -> None:
+def _add_failures(view: AgentView, votes: int = 6) -> None:
     for number in range(votes):
         view.failures.add(f"s{number}", True, 1.0)
 
 
-def test_one_that_fails_alone_is_ejected() -> None:
+def test_an_agent_that_fails_alone_is_ejected() -> None:
     pool = _make_pool(4)
-    _fail(pool.views[0])
+    _add_failures(pool.views[0])
     assert ejection.find_reason(pool.views[0], pool, 1.0) == "failing"
 
 
-def test_failing_everywhere_ejects_nobody() -> None:
+def test_failures_everywhere_eject_no_agent() -> None:
     pool = _make_pool(4)
     for view in pool.views:
-        _fail(view)
+        _add_failures(view)
     assert not any(ejection.find_reason(view, pool, 1.0) for view in pool.views)
 
 
@@ -46,7 +46,7 @@
     pool = _make_pool(6)
     ejected = 0
     for view in pool.views[:3]:
-        _fail(view)
+        _add_failures(view)
         if ejection.find_reason(view, pool, 1.0):
             ejection.eject(view, 1.0)
             ejected += 1
@@ -66,12 +66,12 @@
     assert not pool.may_send_start(view, after)
 
 
-def test_one_that_crawls_is_ejected() -> None:
+def test_a_slow_agent_is_ejected() -> None:
     pool = _make_pool(4)
-    chance = Random(3)
+    rng = Random(3)
     for view in pool.views:
         for _ in range(40):
             factor = 10 if view is pool.views[0] else 1
-            view.observe_run(chance.uniform(0.05, 1) * factor, 0.55)
+            view.observe_run(rng.uniform(0.05, 1) * factor, 0.55)
     found = [ejection.find_reason(view, pool, 1.0) for view in pool.views]
     assert found == ["slow", None, None, None]
--- a/tests/core/test_exploration.py
+++ b/tests/core/test_exploration.py
@@ -1,7 +1,8 @@
-"""Many cores together under a hostile wire: the rules hold after each step.
+"""Stateful tests of several cores and an unreliable network between them.
 
-``make explore`` runs it for longer. The last tests break one rule at a time and
-check that the exploration notices.
+The invariants that ``tests.lib.world`` checks must hold after each step.
+``make explore`` runs more examples. The last tests break one invariant at a time and
+check that the exploration detects it.
 """
 
 from collections.abc import Callable
@@ -27,7 +28,7 @@
 
 
 class Exploration(RuleBasedStateMachine):
-    """Random steps over a world of two entries and two agents."""
+    """Random steps in a world of two entries and two agents."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -92,7 +93,7 @@
 
     @rule(pick=PICK, end=st.sampled_from([0, 1]))
     def reset_one_side(self, pick: int, end: int) -> None:
-        """Let one end see the stream die while the other still reads from it."""
+        """Close a stream at one end while the other end still reads from it."""
         wires = self.world.wires
         numbers = [number for number, wire in wires.items() if not any(wire.closed)]
         if numbers:
@@ -100,7 +101,7 @@
 
     @rule(pick=PICK)
     def overtake(self, pick: int) -> None:
-        """Let a new stream settle everything before the old one is read."""
+        """Let a new stream deliver all messages before the old one is read."""
         waiting = [
             number
             for number, end in self.world.list_deliverable()
@@ -151,17 +152,17 @@
 
 
 WALKS = 3000
-"""Walks within which a broken rule must show."""
+"""Number of walks within which a broken invariant must be detected."""
 
 WALK_STEPS = 60
 
-KEPT_SHARE = 0.6
-"""Share of the kinds of step that a walk may use. A walk that leaves some out goes
-deeper into what the others can do together than one that uses all."""
+INCLUDED_SHARE = 0.6
+"""Share of the kinds of step that a walk uses. A walk that omits some kinds reaches
+deeper combinations of the others than one that uses all."""
 
 
 def _draw_arguments(rng: Random) -> dict[str, Callable[[], dict[str, Any]]]:
-    """Tell how to draw the arguments of each kind of step."""
+    """Return functions that draw the arguments of each kind of step."""
 
     def pick() -> int:
         return rng.randrange(10_001)
@@ -208,14 +209,14 @@
 
 
 def _walk(seed: int) -> None:
-    """Take the steps of the exploration in an order that only the seed decides.
+    """Run steps of the exploration in an order that depends on the seed only.
 
-    The library draws constants from whatever modules the test process has loaded,
-    so which examples it tries depends on the tests that ran before; a walk doesn't.
+    Hypothesis draws constants from the modules that are loaded in the process, so
+    its examples depend on the tests that ran before. A walk doesn't depend on them.
     """
     rng = Random(seed)
     draws = _draw_arguments(rng)
-    kinds = [kind for kind in sorted(draws) if rng.random() < KEPT_SHARE]
+    kinds = [kind for kind in sorted(draws) if rng.random() < INCLUDED_SHARE]
     exploration = Exploration()
     for _ in range(WALK_STEPS if kinds else 0):
         kind = rng.choice(kinds)
@@ -232,7 +233,7 @@
 
 
 @pytest.mark.parametrize("seed", range(60))
-def test_rules_hold_on_walks(seed: int) -> None:
+def test_invariants_hold_on_walks(seed: int) -> None:
     _walk(seed)
 
 
@@ -240,14 +241,14 @@
     monkeypatch.setattr(TaskHistory, "fence", lambda *arguments: None)
 
 
-def _ignore_incarnation(monkeypatch: pytest.MonkeyPatch) -> None:
+def _ignore_incarnation_of_queries(monkeypatch: pytest.MonkeyPatch) -> None:
     resolve = AgentCore._handle_resolve
 
-    def trust(self: AgentCore, entry: object, question: object) -> None:
+    def ignore_incarnation(self: AgentCore, entry: object, question: object) -> None:
         named = question._replace(incarnation=self.identity.incarnation)
         resolve(self, entry, named)
 
-    monkeypatch.setattr(AgentCore, "_handle_resolve", trust)
+    monkeypatch.setattr(AgentCore, "_handle_resolve", ignore_incarnation)
     monkeypatch.setattr(
         "godwitbank._internal.core.entry.EntryCore._mark_outstanding_unknown",
         lambda self, view, detail: self._query_outstanding(view),
@@ -286,23 +287,23 @@
 def _skip_claims(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
         "godwitbank._internal.core.claims.Claims.resolve",
-        lambda self, number, lost: _win_all(self),
+        lambda self, number, lost: _report_all_won(self),
     )
 
 
-def _win_all(claims: object) -> dict[str, bool]:
+def _report_all_won(claims: object) -> dict[str, bool]:
     batch, claims._batch = claims._batch, None
     return dict.fromkeys(batch.claims.values(), True) if batch else {}
 
 
-def _guess_not_run(monkeypatch: pytest.MonkeyPatch) -> None:
+def _requeue_lost_tasks(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
         "godwitbank._internal.core.dispatch.Dispatcher.mark_outcome_unknown",
         lambda self, sent, detail: self._requeue(sent.task),
     )
 
 
-def _resolve_forgets(monkeypatch: pytest.MonkeyPatch) -> None:
+def _always_answer_fenced(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(
         TaskHistory, "resolve", lambda self, key, start_by, entry: Verdict.FENCED
     )
@@ -312,20 +313,23 @@
     "break_rule",
     [
         _drop_fence,
-        _ignore_incarnation,
+        _ignore_incarnation_of_queries,
         _accept_lower_revision,
         _add_slot,
         _ignore_duplicates,
         _start_while_leaving,
         _skip_claims,
-        _guess_not_run,
-        _resolve_forgets,
+        _requeue_lost_tasks,
+        _always_answer_fenced,
     ],
 )
-def test_exploration_notices_a_broken_rule(
+def test_exploration_detects_a_broken_rule(
     break_rule: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A walk fails once a rule is broken, and how long it takes never varies."""
+    """Check that a walk fails if an invariant is broken.
+
+    The number of walks until then is the same in every run.
+    """
     break_rule(monkeypatch)
     for seed in range(WALKS):
         try:
--- a/tests/core/test_imports.py
+++ b/tests/core/test_imports.py
@@ -1,4 +1,4 @@
-"""The core stays free of input and output."""
+"""Tests that the core's modules import nothing that does I/O."""
 
 import ast
 from pathlib import Path
--- a/tests/core/test_pressure.py
+++ b/tests/core/test_pressure.py
@@ -1,10 +1,10 @@
-"""When a process counts as behind."""
+"""Tests of when a process counts as overloaded."""
 
 from godwitbank._internal.core.pressure import Pressure
 
 
 def observe_all(pressure: Pressure, lags: list[float], period: float) -> list[str]:
-    """Let timers fire one after the other; list what would be logged."""
+    """Record lags of consecutive timers and list the events to be logged."""
     events = []
     now = 100.0
     for lag in lags:
@@ -15,27 +15,27 @@
     return events
 
 
-def test_a_queue_that_does_not_empty_is_noticed() -> None:
+def test_sustained_lag_is_reported() -> None:
     pressure = Pressure()
     lags = [0.0, 0.01, 0.02, 0.03, 0.04, 0.04, 0.04]
     assert observe_all(pressure, lags, 0.025) == ["behind"]
     assert pressure.lag == 0.04
 
 
-def test_a_turn_longer_than_any_pause_is_noticed_at_once() -> None:
+def test_a_lag_above_any_throttling_is_reported_at_once() -> None:
     pressure = Pressure()
     assert observe_all(pressure, [0.0, 0.35], 0.025) == ["behind"]
 
 
-def test_one_long_turn_among_short_ones_is_passed_over() -> None:
-    # An allowance of processor time that is used up stops a process until the next
-    # tenth of a second; what came meanwhile is done at full speed then.
+def test_single_long_lags_are_ignored() -> None:
+    # A used-up CPU quota pauses a process until the next tenth of a second; events
+    # that arrived meanwhile are then handled at full speed.
     pressure = Pressure()
     assert observe_all(pressure, [0.0, 0.0, 0.045] * 10, 0.025) == []
     assert not pressure.overloaded
 
 
-def test_catching_up_is_told_with_how_long_it_took() -> None:
+def test_recovery_is_reported_with_the_duration() -> None:
     pressure = Pressure()
     pressure.observe(0.3, 100.0)
     assert pressure.observe(0.03, 100.3) is None
--- a/tests/core/test_quota.py
+++ b/tests/core/test_quota.py
@@ -1,4 +1,4 @@
-"""Quotas: shares add up, and nobody starves."""
+"""Tests that entries' shares add up to the quota and that no entry is starved."""
 
 from godwitbank._internal.core.quota import Quota
 
@@ -15,13 +15,13 @@
     assert quotas[0].measure_share(0.0) > 0
 
 
-def test_rate_is_held_over_time() -> None:
+def test_rate_is_limited_over_time() -> None:
     quota = Quota(50, 2, 0.0)
     admitted = sum(quota.take_tokens(1, step * 0.001) == 0 for step in range(10_000))
     assert 500 <= admitted <= 50 * 10 + 50 * 2 + 2
 
 
-def test_a_job_larger_than_the_bucket_runs_it_into_debt() -> None:
+def test_a_job_larger_than_the_bucket_makes_the_balance_negative() -> None:
     quota = Quota(10, 1, 0.0)
     assert quota.take_tokens(460, 0.0) == 0
     wait = quota.take_tokens(1, 0.1)
@@ -29,7 +29,7 @@
     assert quota.take_tokens(1, 0.1 + wait + 0.1) == 0
 
 
-def test_a_silent_peer_gives_its_share_back() -> None:
+def test_the_share_of_a_silent_peer_is_redistributed() -> None:
     quota = Quota(100, 1, 0.0)
     quota.update_peer_demand("entry-1", 500.0, 0.0)
     assert quota.measure_share(1.0) < 0.1
--- a/tests/core/test_task_history.py
+++ b/tests/core/test_task_history.py
@@ -1,4 +1,4 @@
-"""What an agent remembers, and what it says of what it has forgotten."""
+"""Tests of an agent's task records, and of its answers about dropped ones."""
 
 from godwitbank._internal.core.events import RunEnded
 from godwitbank._internal.core.task_history import MAX_REQUEST_BYTES, TaskHistory
@@ -10,47 +10,46 @@
     return RunEnded(key, Ending.ANSWERED, 200, "application/json", body, 0.1)
 
 
-def test_forgotten_starts_are_unknown_never_fenced() -> None:
-    """An entry asks about a start so old that its record is gone.
+def test_starts_with_dropped_records_are_unknown_not_fenced() -> None:
+    """Guards against a task that runs twice because its record was dropped.
 
-    Symptom: a task that ran is declared never started, and runs again.
-    Sequence: the task starts and ends, its record is dropped, the question comes.
-    Cause: no record taken for "never started".
+    A task starts and ends, its record is dropped, and then the entry queries the
+    start. If a missing record is taken for "never started", the entry requeues it.
     """
-    memory = TaskHistory(retention=10)
+    history = TaskHistory(retention=10)
     key = TaskKey("s", 0, 1)
-    memory.record_start(key, 5.0, "entry", "", 1.0)
-    memory.record_end(_end(key), "")
-    memory.expire(20.0)
-    assert len(memory) == 0
-    assert memory.resolve(key, 5.0, "entry") is Verdict.UNKNOWN
-    assert memory.resolve(TaskKey("t", 0, 1), 9.0, "entry") is Verdict.FENCED
+    history.record_start(key, 5.0, "entry", "", 1.0)
+    history.record_end(_end(key), "")
+    history.expire(20.0)
+    assert len(history) == 0
+    assert history.resolve(key, 5.0, "entry") is Verdict.UNKNOWN
+    assert history.resolve(TaskKey("t", 0, 1), 9.0, "entry") is Verdict.FENCED
 
 
-def test_running_tasks_are_never_forgotten() -> None:
-    memory = TaskHistory(retention=1, max_records=2)
+def test_records_of_running_tasks_are_never_dropped() -> None:
+    history = TaskHistory(retention=1, max_records=2)
     keys = [TaskKey("s", number, 1) for number in range(5)]
     for key in keys:
-        memory.record_start(key, 1.0, "entry", "", 1.0)
-    memory.expire(1000.0)
-    assert all(memory.resolve(key, 1.0, "e") is Verdict.RUNNING for key in keys)
+        history.record_start(key, 1.0, "entry", "", 1.0)
+    history.expire(1000.0)
+    assert all(history.resolve(key, 1.0, "e") is Verdict.RUNNING for key in keys)
 
 
-def test_a_fence_holds_for_its_attempt_only() -> None:
-    memory = TaskHistory()
+def test_a_fence_applies_to_its_attempt_only() -> None:
+    history = TaskHistory()
     first = TaskKey("s", 0, 1)
-    assert memory.resolve(first, 5.0, "entry") is Verdict.FENCED
-    assert memory.is_fenced(first)
-    assert not memory.is_fenced(TaskKey("s", 0, 2))
+    assert history.resolve(first, 5.0, "entry") is Verdict.FENCED
+    assert history.is_fenced(first)
+    assert not history.is_fenced(TaskKey("s", 0, 2))
 
 
-def test_answers_to_be_asked_for_again_are_bounded_in_bytes() -> None:
-    memory = TaskHistory()
+def test_results_kept_for_recall_are_limited_in_bytes() -> None:
+    history = TaskHistory()
     body = b"x" * (MAX_REQUEST_BYTES // 8)
     for number in range(20):
         key = TaskKey(f"s{number}", 0, 1)
-        memory.record_start(key, 1.0, "entry", f"r{number}", 1.0)
-        memory.record_end(_end(key, body), f"r{number}")
-        memory.expire(2.0)
-    kept = [n for n in range(20) if memory.has_request(f"r{n}")]
+        history.record_start(key, 1.0, "entry", f"r{number}", 1.0)
+        history.record_end(_end(key, body), f"r{number}")
+        history.expire(2.0)
+    kept = [n for n in range(20) if history.has_request(f"r{n}")]
     assert kept == list(range(12, 20))
