--- a/src/godwitbank/_internal/core/dispatch.py
+++ b/src/godwitbank/_internal/core/dispatch.py
@@ -77,7 +77,7 @@
         self._now = 0.0
 
     def begin_event(self, now: float, emit: Callable[[Action], None]) -> None:
-        """Set the time, and the function that takes actions, for one event."""
+        """Set the time and the receiver of actions for the event being handled."""
         self._now = now
         self._emit = emit
 
--- a/src/godwitbank/_internal/core/membership.py
+++ b/src/godwitbank/_internal/core/membership.py
@@ -38,7 +38,7 @@
         self._now = now
 
     def begin_event(self, now: float, emit: Callable[[Action], None]) -> None:
-        """Set the time, and the function that takes actions, for one event."""
+        """Set the time and the receiver of actions for the event being handled."""
         self._now = now
         self._emit = emit
 
--- a/src/godwitbank/_internal/core/pool.py
+++ b/src/godwitbank/_internal/core/pool.py
@@ -69,8 +69,8 @@
             return True
         if now - self.announced_at < MIN_ANNOUNCEMENT_INTERVAL_SECONDS:
             return False
-        fewer = abs(waiting - self.waiting) > MIN_CHANGE_SHARE * self.waiting
-        return fewer or rank > self.rank + MIN_RANK_CHANGE_SECONDS
+        count_changed = abs(waiting - self.waiting) > MIN_CHANGE_SHARE * self.waiting
+        return count_changed or rank > self.rank + MIN_RANK_CHANGE_SECONDS
 
     def is_due(self, waiting: int, rank: float, now: float) -> bool:
         """Return whether the announcement to each agent has to be checked.
@@ -103,7 +103,8 @@
     :ivar reported_failure_rate: failure rate that the agent itself observed.
     :ivar slowness: moving average of the logarithm of run time over class mean.
     :ivar ejected_until: time at which the ejection ends; 0 if not ejected.
-    :ivar probing: whether the next results decide on reinstatement.
+    :ivar probing: whether the agent was ejected, so that the next result after the
+        ejection decides on its reinstatement.
     """
 
     def __init__(self, address: str, now: float) -> None:
@@ -238,8 +239,8 @@
             free = view.free
             if free <= 0 or not self.may_send_start(view, now):
                 continue
-            near = same_zone and view.zone == self._zone
-            score = (free, near, self._rng.random())
+            is_local = same_zone and view.zone == self._zone
+            score = (free, is_local, self._rng.random())
             if best is None or score > best_score:
                 best = view
                 best_score = score
--- a/src/godwitbank/_internal/core/task_history.py
+++ b/src/godwitbank/_internal/core/task_history.py
@@ -182,14 +182,14 @@
         """Drop old and excess records, raising the watermark to their start bounds."""
         while self._records:
             name, record = next(iter(self._records.items()))
-            old = record.start_by + self._retention < now
-            if not old and len(self._records) <= self._max_records:
+            expired = record.start_by + self._retention < now
+            if not expired and len(self._records) <= self._max_records:
                 break
             if record.state is RecordState.RUNNING:
                 # The record of a running task must stay, as nothing else can answer
                 # queries about the task; it moves to the end and is checked later.
                 self._records.move_to_end(name)
-                if old or all(
+                if expired or all(
                     each.state is RecordState.RUNNING for each in self._records.values()
                 ):
                     break
@@ -198,9 +198,9 @@
             self._watermark = max(self._watermark, record.start_by)
         while self._requests:
             request_id = next(iter(self._requests))
-            old = self._request_times[request_id] + REQUEST_RETENTION_SECONDS < now
-            many = len(self._requests) > MAX_REQUESTS
-            if not (old or many or self._request_bytes > MAX_REQUEST_BYTES):
+            expired = self._request_times[request_id] + REQUEST_RETENTION_SECONDS < now
+            too_many = len(self._requests) > MAX_REQUESTS
+            if not (expired or too_many or self._request_bytes > MAX_REQUEST_BYTES):
                 break
             del self._requests[request_id]
             del self._request_times[request_id]
--- a/tests/core/test_exploration.py
+++ b/tests/core/test_exploration.py
@@ -244,9 +244,9 @@
 def _ignore_incarnation_of_queries(monkeypatch: pytest.MonkeyPatch) -> None:
     resolve = AgentCore._handle_resolve
 
-    def ignore_incarnation(self: AgentCore, entry: object, question: object) -> None:
-        named = question._replace(incarnation=self.identity.incarnation)
-        resolve(self, entry, named)
+    def ignore_incarnation(self: AgentCore, entry: object, query: object) -> None:
+        current = query._replace(incarnation=self.identity.incarnation)
+        resolve(self, entry, current)
 
     monkeypatch.setattr(AgentCore, "_handle_resolve", ignore_incarnation)
     monkeypatch.setattr(
