--- a/src/godwitbank/_internal/core/runs/homes.py
+++ b/src/godwitbank/_internal/core/runs/homes.py
@@ -1,9 +1,10 @@
-"""Which entry decides who may start a job.
+"""The home of a job: the entry that decides which entry may start it.
 
-Each job has a home among the entries that are there, by rendezvous hashing of its name.
-An entry starts nothing of a job before its home has let it, so that two entries that
-get one job at once don't both start it. The home is asked once a job; while it can't
-be reached, what is known of lost entries decides.
+Each job has a home among the entries that are connected, chosen by rendezvous hashing
+of the job's name. An entry starts no task of a job before the home has granted it, so
+that two entries that receive the same job at once don't both start it. The home is
+asked once per job. While it is unreachable, what is known about the jobs of lost
+entries decides instead.
 """
 
 import itertools
@@ -21,22 +22,23 @@
 from godwitbank._internal.models.run_messages import Acquire, Acquired, Release
 
 MAX_HOPS = 3
-"""Times that a request is passed on. Entries that know of different others may take
-each other for the home for a moment."""
+"""How often a request may be relayed. Entries that know different sets of peers may
+each consider the other one the home for a short time, and would keep relaying it."""
 
 GRANT_RETENTION_SECONDS = 60.0
-"""Seconds after which a grant that was never released is forgotten; longer than any
+"""Seconds after which a grant that was never released is dropped; longer than any
 caller waits."""
 
 HOME_CACHE_SIZE = 4096
-"""Jobs whose home is remembered, so that it isn't worked out for each look."""
+"""Jobs whose home is cached, so that it isn't computed again for each lookup."""
 
 
 class Grant(NamedTuple):
-    """The entry that was allowed to start a job.
+    """The permission of an entry to start a job.
 
-    :param owner: its incarnation.
-    :param number: of its request; 0 if it took the job over unasked.
+    :param owner: the entry's incarnation.
+    :param number: of the entry's request; 0 if it took the job over without one.
+    :param at: when it was granted, in seconds.
     """
 
     owner: str
@@ -45,13 +47,14 @@
 
 
 class AcquireRequest(NamedTuple):
-    """A job that an entry wants.
+    """An entry's request to start a job.
 
-    :param owner: the entry's incarnation.
-    :param number: counts its requests.
-    :param stream: where it, or one that passes it on, is answered.
+    :param owner: the requesting entry's incarnation.
+    :param number: counts the requests of that entry.
+    :param stream: on which the requesting entry, or the one that relayed the request,
+        is answered.
     :param acting: whether this entry decides in place of the home.
-    :param hops: how often it may still be passed on.
+    :param hops: how often the request may still be relayed.
     """
 
     job: str
@@ -63,10 +66,10 @@
 
 
 class Route(NamedTuple):
-    """Where a request is decided.
+    """The way to the entry that decides about a job.
 
-    :param stream: the stream towards the home; 0: here.
-    :param acting: whether the other end is to decide in place of the home.
+    :param stream: towards the home; 0 if this entry decides.
+    :param acting: whether the receiver is to decide in place of the home.
     """
 
     stream: int
@@ -78,7 +81,7 @@
 
 @lru_cache(maxsize=HOME_CACHE_SIZE)
 def choose_home(job: str, addresses: tuple[str, ...]) -> str:
-    """Choose the home of a job among entries."""
+    """Choose the home of a job among entries, by rendezvous hashing."""
 
     def score(address: str) -> bytes:
         return blake2b(f"{job} {address}".encode(), digest_size=8).digest()
@@ -87,32 +90,35 @@
 
 
 class Grants:
-    """What this entry has decided as the home of jobs."""
+    """Permissions to start jobs that this entry gave as their home."""
 
     def __init__(self) -> None:
         self._grants: OrderedDict[str, Grant] = OrderedDict()
 
     def add(self, job: str, owner: str, number: int, now: float) -> None:
-        """Note that an entry may start a job."""
+        """Record that an entry may start a job."""
         self._grants.pop(job, None)
         self._grants[job] = Grant(owner, number, now)
         while now - next(iter(self._grants.values())).at > GRANT_RETENTION_SECONDS:
             self._grants.popitem(last=False)
 
     def find_owner(self, job: str) -> str:
-        """Find the incarnation that may start a job, or an empty string."""
+        """Return the incarnation of a grant's owner, or an empty string."""
         grant = self._grants.get(job)
         return grant.owner if grant else ""
 
     def transfer(self, job: str, owner: str, now: float) -> None:
-        """Note that another entry has taken a job over."""
+        """Record that another entry has taken over a job that was granted here."""
         if job in self._grants and self.find_owner(job) != owner:
             self.add(job, owner, 0, now)
 
     def remove(self, job: str, owner: str, number: int, now: float) -> None:
-        """Forget a grant that its owner released.
+        """Remove a grant that its owner released.
 
-        What it released may be an older one, if that took longer than its next request.
+        A release may be delayed on its way and arrive after the owner's next request
+        for the same job; the newer grant is kept then. A release without a number
+        removes a numbered grant only once it is older than ``SILENCE``, the longest
+        time for which the release of an earlier grant may have been delayed.
         """
         grant = self._grants.get(job)
         if grant is None or grant.owner != owner:
@@ -122,7 +128,7 @@
             del self._grants[job]
 
     def list_by_owner(self) -> dict[str, dict[str, float]]:
-        """List when each job was granted, by owner and job."""
+        """List the time at which each job was granted, by owner and job."""
         owned: dict[str, dict[str, float]] = {}
         for job, grant in self._grants.items():
             owned.setdefault(grant.owner, {})[job] = grant.at
@@ -130,49 +136,55 @@
 
 
 class Homes:
-    """Asks the homes of jobs, and decides as the home of others.
+    """Requests jobs from their homes, and decides about jobs that have their home here.
 
-    :param sees_all_agents: tells whether agents can tell what lost entries run.
-    :param is_informed: tells whether it is known here what other entries have taken.
-    :param find_holder: tells which entry has a job, as far as this one knows; ``None``
-        while that can't be told yet.
+    :param connects_to_all_agents: tells whether each agent has a stream to every entry,
+        so that agents can tell which jobs of lost entries they run.
+    :param is_synced: tells whether this entry knows which jobs other entries own.
+    :param find_current_owner: returns the incarnation of the entry that owns a job, as
+        far as this entry knows; empty if none does, ``None`` if that is undecided yet.
     """
 
     def __init__(
         self,
         links: Links,
-        takings: JobOwnership,
-        whereabouts: PeerReachability,
-        sees_all_agents: Callable[[], bool],
-        is_informed: Callable[[], bool],
-        find_holder: Callable[[str], str | None],
+        ownership: JobOwnership,
+        reachability: PeerReachability,
+        connects_to_all_agents: Callable[[], bool],
+        is_synced: Callable[[], bool],
+        find_current_owner: Callable[[str], str | None],
     ) -> None:
         self.grants = Grants()
         self.leaving = False
         self._links = links
-        self._takings = takings
-        self._whereabouts = whereabouts
-        self._sees_all_agents = sees_all_agents
-        self._is_informed = is_informed
-        self._find_holder = find_holder
+        self._ownership = ownership
+        self._reachability = reachability
+        self._connects_to_all_agents = connects_to_all_agents
+        self._is_synced = is_synced
+        self._find_current_owner = find_current_owner
         self._waiting: list[AcquireRequest] = []
-        self._passed: dict[int, list[AcquireRequest]] = {}
-        self._numbers: dict[str, int] = {}
+        self._relayed: dict[int, list[AcquireRequest]] = {}
+        self._request_numbers: dict[str, int] = {}
         self._released: dict[str, int] = {}
         self._counter = itertools.count(1)
         self._now = 0.0
-        self._out: Callable[[RunAction], None] = lambda action: None
+        self._emit: Callable[[RunAction], None] = lambda action: None
 
-    def begin_event(self, now: float, out: Callable[[RunAction], None]) -> None:
-        """Prepare for one event."""
+    def begin_event(self, now: float, emit: Callable[[RunAction], None]) -> None:
+        """Set the time, and where actions go, for one event."""
         self._now = now
-        self._out = out
+        self._emit = emit
 
-    # Who decides
+    # Choice of the home
 
     def find_route(self, job: str, exclude_self: bool = False) -> Route | None:
-        """Find where a job is decided; ``None`` while its home may be gone or not."""
-        streams = self._whereabouts.list_relay_streams()
+        """Find the way to a job's home.
+
+        :param exclude_self: choose among the other entries only.
+        :return: ``None`` if the home is a lost entry whose runs may still be alive, or
+            if no other entry is left to choose from.
+        """
+        streams = self._reachability.list_relay_streams()
         peers = self._links.list_peers()
         for link in peers:
             streams.pop(link.hello.address, None)
@@ -183,8 +195,8 @@
         if not (self.leaving or exclude_self):
             streams[own] = 0
         lost: set[str] = set()
-        if not self._sees_all_agents():
-            lost = self._takings.list_lost_addresses(self._now)
+        if not self._connects_to_all_agents():
+            lost = self._ownership.list_lost_addresses(self._now)
         addresses = {*streams, *lost}
         if not addresses:
             return None if exclude_self else LOCAL_ROUTE
@@ -194,129 +206,136 @@
         return Route(streams[home], False)
 
     def may_be_lost(self, job: str) -> bool:
-        """Tell whether a job's home may be an entry that was lost lately."""
+        """Tell whether a job's home may be a recently lost entry."""
         peers = [link.hello.address for link in self._links.list_peers()]
-        lost = self._takings.list_lost_addresses()
+        lost = self._ownership.list_lost_addresses()
         addresses = {*peers, *lost, self._links.addresses.own}
         return choose_home(job, tuple(sorted(addresses))) in lost
 
-    # As the one that wants a job
+    # Requests of this entry
 
     def request_job(self, job: str, route: Route) -> int:
-        """Ask a job's home whether this entry may start it.
+        """Request permission from a job's home to start it here.
 
-        :return: the request's number.
+        :return: the number of the request.
         """
         self._released.pop(job, None)
-        number = self._numbers[job] = next(self._counter)
+        number = self._request_numbers[job] = next(self._counter)
         own = self._links.own_incarnation
-        self._out(Send(route.stream, Acquire(job, own, number, route.acting, MAX_HOPS)))
+        self._emit(
+            Send(route.stream, Acquire(job, own, number, route.acting, MAX_HOPS))
+        )
         return number
 
     def release(self, job: str) -> None:
-        """Tell a job's home that nothing of it is left here."""
-        self._released[job] = self._numbers.pop(job, 0)
+        """Note that no run of a job is left here, to be told to its home."""
+        self._released[job] = self._request_numbers.pop(job, 0)
 
     def announce_released(self) -> None:
-        """Tell homes of the jobs released since the last time."""
+        """Tell the homes which jobs were released since the last announcement."""
         if self._released:
             released, self._released = self._released, {}
             own = self._links.own_incarnation
             jobs, numbers = list(released), list(released.values())
             self.handle_release(Release(jobs, numbers, own, MAX_HOPS))
 
-    # As the one that decides, or passes requests on
+    # Requests of other entries
 
     def decide(self, job: str, owner: str, number: int = 0) -> str | None:
-        """Decide which entry has a job, and let the one that asks start it if none has.
+        """Decide which entry owns a job; it is granted to the requester if none does.
 
-        :return: the incarnation of the one that has it; ``None`` if that isn't known.
+        :param owner: incarnation of the requesting entry.
+        :return: incarnation of the owner; ``None`` if that can't be decided yet.
         """
-        holder = self._find_holder(job)
-        if holder in ("", owner):
+        current_owner = self._find_current_owner(job)
+        if current_owner in ("", owner):
             self.grants.add(job, owner, number, self._now)
             if owner == self._links.own_incarnation:
                 self._released.pop(job, None)
             return owner
-        return holder
+        return current_owner
 
     def handle_request(self, request: AcquireRequest) -> None:
-        """Decide a request, pass it on, or let it wait."""
-        if not self._serve(request):
+        """Decide or relay a request, or queue it until either is possible."""
+        if not self._process(request):
             self._waiting.append(request)
 
     def retry_waiting(self) -> None:
-        """Look again at the requests that wait."""
+        """Try again to decide or relay the queued requests."""
         if self._waiting:
             waiting, self._waiting = self._waiting, []
-            self._waiting = [each for each in waiting if not self._serve(each)]
+            self._waiting = [each for each in waiting if not self._process(each)]
 
-    def _serve(self, request: AcquireRequest) -> bool:
+    def _process(self, request: AcquireRequest) -> bool:
         route = self._choose_route(request)
         if route is None:
             return False
         if route.stream:
-            self._pass_on(request, route)
+            self._relay(request, route)
             return True
-        holder = self.decide(request.job, request.owner, request.number)
-        if holder is None:
+        current_owner = self.decide(request.job, request.owner, request.number)
+        if current_owner is None:
             return False
-        answer = Acquired(request.job, request.owner, request.number, holder)
-        self._out(Send(request.stream, answer))
+        answer = Acquired(request.job, request.owner, request.number, current_owner)
+        self._emit(Send(request.stream, answer))
         return True
 
     def _choose_route(self, request: AcquireRequest) -> Route | None:
         if request.acting:
-            return LOCAL_ROUTE if self._is_informed() else None
+            return LOCAL_ROUTE if self._is_synced() else None
         route = self.find_route(request.job)
-        if route != LOCAL_ROUTE or self._is_informed():
+        if route != LOCAL_ROUTE or self._is_synced():
             return route
-        # This entry has just joined; the home before it knows who has the job.
+        # This entry has just joined and doesn't know the owners of jobs yet. The entry
+        # that would be the home without it does.
         other = self.find_route(request.job, exclude_self=True)
         return other and other._replace(acting=True)
 
-    def _pass_on(self, request: AcquireRequest, route: Route) -> None:
+    def _relay(self, request: AcquireRequest, route: Route) -> None:
         job, owner, number, _, _, hops = request
         if hops == 0 or route.stream == request.stream:
-            self._out(Send(request.stream, Acquired(job, owner, number, "")))
+            self._emit(Send(request.stream, Acquired(job, owner, number, "")))
             return
-        self._passed.setdefault(route.stream, []).append(request)
+        self._relayed.setdefault(route.stream, []).append(request)
         message = Acquire(job, owner, number, route.acting, hops - 1)
-        self._out(Send(route.stream, message))
+        self._emit(Send(route.stream, message))
 
     def handle_answer(self, stream: int, answer: Acquired) -> None:
-        """Pass an answer back to whom it is for."""
+        """Record the owner that a home named; relay the answer to the requester."""
         if answer.owner not in ("", self._links.own_incarnation):
-            self._takings.record(answer.job, 0.0, answer.owner, self._now)
-        for request in list(self._passed.get(stream, ())):
+            self._ownership.record(answer.job, 0.0, answer.owner, self._now)
+        for request in list(self._relayed.get(stream, ())):
             if request[:3] == answer[:3]:
-                self._passed[stream].remove(request)
-                self._out(Send(request.stream, answer))
+                self._relayed[stream].remove(request)
+                self._emit(Send(request.stream, answer))
 
     def handle_release(self, release: Release) -> None:
-        """Note that nothing of some jobs is left at an entry, or pass that on."""
+        """Record and relay that no run of some jobs is left at an entry."""
         owner, hops = release.owner, release.hops
-        passed: dict[int, dict[str, int]] = {}
+        relayed: dict[int, dict[str, int]] = {}
         for job, number in zip(release.jobs, release.numbers, strict=False):
-            self._note_release(job, owner, number)
+            self._record_release(job, owner, number)
             route = self.find_route(job)
             if route is not None and route.stream and hops:
-                passed.setdefault(route.stream, {})[job] = number
-        for stream, jobs in passed.items():
-            left = Release(list(jobs), list(jobs.values()), owner, hops - 1)
-            self._out(Send(stream, left))
-
-    def _note_release(self, job: str, owner: str, number: int) -> None:
-        wanted = (job, owner, number)
-        self._waiting = [each for each in self._waiting if each[:3] != wanted]
+                relayed.setdefault(route.stream, {})[job] = number
+        for stream, jobs in relayed.items():
+            remaining = Release(list(jobs), list(jobs.values()), owner, hops - 1)
+            self._emit(Send(stream, remaining))
+
+    def _record_release(self, job: str, owner: str, number: int) -> None:
+        released_request = (job, owner, number)
+        self._waiting = [each for each in self._waiting if each[:3] != released_request]
         self.grants.remove(job, owner, number, self._now)
-        if self._takings.find_owner(job) == owner:
-            self._takings.forget(job)
+        if self._ownership.find_owner(job) == owner:
+            self._ownership.forget(job)
 
     def drop_stream(self, stream: int) -> None:
-        """Forget who asked on a stream that ended; ask others what was passed on."""
+        """Drop the requests that came on a closed stream.
+
+        Requests that were relayed on it are queued, to be relayed to another entry.
+        """
         self._waiting = [each for each in self._waiting if each.stream != stream]
-        self._waiting += self._passed.pop(stream, [])
-        for target, requests in self._passed.items():
-            left = [each for each in requests if each.stream != stream]
-            self._passed[target] = left
+        self._waiting += self._relayed.pop(stream, [])
+        for target, requests in self._relayed.items():
+            remaining = [each for each in requests if each.stream != stream]
+            self._relayed[target] = remaining
--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -281,7 +281,7 @@
     Break(
         "a home that has just joined decides at once",
         f"{LEASED}/homes.py",
-        "        if route != LOCAL_ROUTE or self._is_informed():",
+        "        if route != LOCAL_ROUTE or self._is_synced():",
         "        if True:",
         f"{RUNS}/test_two_entries.py::"
         "test_a_home_that_has_just_joined_asks_the_one_before_it",
