--- a/src/godwitbank/_internal/core/runs/handover.py
+++ b/src/godwitbank/_internal/core/runs/handover.py
@@ -1,9 +1,10 @@
-"""Jobs that go from one entry to another, and never run twice by it.
+"""Handover of jobs between entries, so that no task runs twice at the same time.
 
 The same job may be submitted at several entries, at once or one after the other. The
-job's home lets one of them start it; the others' callers wait for that one's result.
-Where it can't be reached it is asked to stop first, and where entries can't reach each
-other the agents decide.
+job's home grants it to one of them; callers at the other entries wait for that entry's
+result. If the owner has no healthy stream to this entry, it is asked to stop the job
+before the job starts here. Where entries can't reach each other at all, the agents
+decide which entry's runs they keep.
 """
 
 from collections.abc import Callable
@@ -43,14 +44,14 @@
 )
 
 RETRY_STREAM = -1
-"""Stream of a job whose home wasn't found, and is looked for again with the next look
-at what waits."""
+"""Placeholder for the stream of a request that no home decided. The job is requested
+again the next time that delayed jobs are processed."""
 
 
 class PendingRequest(NamedTuple):
-    """A job whose home was asked whether it may start here.
+    """A job that was requested from its home and not decided yet.
 
-    :param stream: on which it was asked.
+    :param stream: on which the request was sent.
     :param number: of the request.
     """
 
@@ -60,7 +61,10 @@
 
 
 class Handover:
-    """Decides when a job that was handed over may start at this entry."""
+    """Decides when a submitted job may start at this entry.
+
+    :param entries_per_agent: the number of entries that each agent keeps a stream to.
+    """
 
     def __init__(
         self,
@@ -74,106 +78,109 @@
         self._dispatcher = dispatcher
         self._links = links
         self._counts = counts
-        self._takings = JobOwnership()
+        self._ownership = JobOwnership()
         self._delayed: dict[str, Delayed] = {}
-        self._unsorted: dict[str, Job] = {}
-        self._asked: dict[str, PendingRequest] = {}
+        self._undecided: dict[str, Job] = {}
+        self._pending_requests: dict[str, PendingRequest] = {}
         self._entries_per_agent = entries_per_agent
         dispatcher.is_unsure = self.may_run_elsewhere
         dispatcher.on_gone = self._release
-        self.reachability = PeerReachability(links, self._takings, rng)
+        self.reachability = PeerReachability(links, self._ownership, rng)
         self.homes = Homes(
             links,
-            self._takings,
+            self._ownership,
             self.reachability,
-            lambda: self._sees_all_agents,
+            lambda: self._connects_to_all_agents,
             lambda: self.synced,
-            self._find_holder,
+            self._find_current_owner,
         )
         self.join: Callable[[Job, Link], None] = lambda job, link: None
-        """Lets the callers of a job wait for it at another entry."""
+        """Makes the callers of a job wait for it at another entry."""
         self.has_forwarded: Callable[[str], bool] = lambda job: False
-        """Tells whether a job that this entry may start was handed on to another."""
-        self._readiness = Readiness(links, self._takings, self.reachability, now)
-        self._tellings = OwnershipAnnouncements(links)
+        """Tells whether a job that this entry may start was forwarded elsewhere."""
+        self._readiness = Readiness(links, self._ownership, self.reachability, now)
+        self._announcements = OwnershipAnnouncements(links)
         self._yields = Yields()
         self._now = now
-        self._out: Callable[[RunAction], None] = lambda action: None
+        self._emit: Callable[[RunAction], None] = lambda action: None
 
-    def begin_event(self, now: float, out: Callable[[RunAction], None]) -> None:
-        """Prepare for one event."""
+    def begin_event(self, now: float, emit: Callable[[RunAction], None]) -> None:
+        """Set the time, and where actions go, for one event."""
         self._now = now
-        self._out = out
-        self.reachability.begin_event(now, out)
-        self.homes.begin_event(now, out)
-        self._tellings.begin_event(out)
+        self._emit = emit
+        self.reachability.begin_event(now, emit)
+        self.homes.begin_event(now, emit)
+        self._announcements.begin_event(emit)
         self._readiness.begin_event(now)
-        self._yields.begin(out)
+        self._yields.begin(emit)
 
-    def _note(self, event: str, request: str, **fields: object) -> None:
-        self._out(Note(event, request, fields))
+    def _log_decision(self, event: str, request: str, **fields: object) -> None:
+        self._emit(Note(event, request, fields))
 
     def _send(self, stream: int, message: Message) -> None:
-        self._out(Send(stream, message))
+        self._emit(Send(stream, message))
 
     @property
     def busy(self) -> bool:
-        """Whether a job waits here."""
-        return bool(self._delayed or self._unsorted or self._asked)
+        """Whether any job waits here for permission to start."""
+        return bool(self._delayed or self._undecided or self._pending_requests)
 
     def find_waiting(self, name: str) -> Job | None:
-        """Find a job that waits here for its callers."""
-        if name in self._asked:
-            return self._asked[name].job
+        """Return a job that waits here to start, if callers wait for it."""
+        if name in self._pending_requests:
+            return self._pending_requests[name].job
         delayed = self._delayed.get(name)
         if delayed is not None:
             return None if delayed.abandoned else delayed.job
-        return self._unsorted.get(name)
+        return self._undecided.get(name)
 
     @property
     def synced(self) -> bool:
-        """Whether it is known what other entries have taken."""
+        """Whether this entry knows which jobs other entries own."""
         return self._readiness.synced
 
     def resume_after_pause(self) -> None:
-        """Begin anew after this entry stood still."""
+        """Wait for announcements of other entries again after a process pause."""
         self._readiness.resume_after_pause()
 
     @property
-    def _sees_all_agents(self) -> bool:
+    def _connects_to_all_agents(self) -> bool:
+        """Whether each agent keeps a stream to every entry."""
         return self._links.addresses.count < self._entries_per_agent
 
     def submit(self, job: Job) -> None:
-        """Start a job, or let it wait until nothing of it runs elsewhere."""
+        """Start a job, or hold it until no run of it can be alive elsewhere."""
         if self.synced:
-            self._sort_in(job)
+            self._resolve_owner(job)
         else:
-            # What other entries have taken isn't known yet; it might run twice.
+            # Which jobs other entries own isn't known yet; one may run this job.
             self._hold(job)
 
     def _hold(self, job: Job) -> None:
         name = job.spec.job
-        if name not in self._unsorted:
+        if name not in self._undecided:
             known_at = max(
-                self._readiness.sync_deadline, self._takings.get_last_expiry()
+                self._readiness.sync_deadline, self._ownership.get_last_expiry()
             )
-            self._note_delay(name, "uninformed", known_at)
-        self._unsorted[name] = job
+            self._log_delay(name, "uninformed", known_at)
+        self._undecided[name] = job
 
     def handle_caller_loss(self, caller: int) -> None:
-        """Forget the jobs that only a caller who is gone waits for."""
+        """Drop the waiting jobs that no caller but a disconnected one waits for."""
         for name, job in self._list_waiting():
             if caller not in job.callers:
                 continue
             job.callers.remove(caller)
             if not job.callers:
-                for waiting in (self._unsorted, self._delayed, self._asked):
+                for waiting in (self._undecided, self._delayed, self._pending_requests):
                     waiting.pop(name, None)
                 self._release(name)
 
     def _list_waiting(self) -> list[tuple[str, Job]]:
-        waiting = list(self._unsorted.items())
-        waiting += [(name, asked.job) for name, asked in self._asked.items()]
+        waiting = list(self._undecided.items())
+        waiting += [
+            (name, pending.job) for name, pending in self._pending_requests.items()
+        ]
         waiting += [
             (name, delayed.job)
             for name, delayed in self._delayed.items()
@@ -182,270 +189,297 @@
         return waiting
 
     def give_up_expired(self) -> None:
-        """Answer callers whose time is over while their jobs wait here.
+        """Answer the callers of jobs that pass their deadline while they wait here.
 
-        Whether another entry runs them isn't known.
+        The answer says that the job may have run, as another entry may run it.
         """
         for name, job in self._list_waiting():
             if job.deadline <= self._now:
-                self._unsorted.pop(name, None)
-                self._asked.pop(name, None)
+                self._undecided.pop(name, None)
+                self._pending_requests.pop(name, None)
                 if name in self._delayed:
                     self._delayed[name].abandoned = True
                 self._release(name)
-                self._give_up_unknown(job)
+                self._give_up_possibly_run(job)
 
-    def _give_up_unknown(self, job: Job, reason: str = "deadline") -> None:
+    def _give_up_possibly_run(self, job: Job, reason: str = "deadline") -> None:
         job.ran = True
         self._dispatcher.give_up(job, reason)
 
     def refuse_all(self, reason: str) -> None:
-        """Refuse every job that waits here."""
+        """Refuse all jobs that wait here for permission to start."""
         for _, job in self._list_waiting():
             self._dispatcher.refuse(job, reason)
             self._release(job.spec.job)
-        self._unsorted.clear()
-        self._asked.clear()
+        self._undecided.clear()
+        self._pending_requests.clear()
         self._delayed.clear()
 
     def handle_peer_loss(self, link: Link) -> None:
-        """Note that a peer's last stream ended."""
+        """React to the end of the last stream to a peer."""
         owner = link.hello.incarnation
         self._readiness.mark_lost(owner)
-        # It may have proved its life to others later than to this entry, by as much as
-        # may lie between two proofs.
-        lived_at = min(self._now, link.heard_at + SILENCE)
-        # Nothing is known of what others did while this entry stood still.
-        lived_at = max(lived_at, self._readiness.active_since)
-        self.reachability.announce_lost(link, lived_at)
+        # Other processes may have received a later sign of life from the peer than this
+        # entry did: later by up to ``SILENCE``, the longest interval between two.
+        last_alive_at = min(self._now, link.heard_at + SILENCE)
+        # This entry received nothing while its process was paused; the peer may have
+        # been alive until the pause ended.
+        last_alive_at = max(last_alive_at, self._readiness.active_since)
+        self.reachability.announce_lost(link, last_alive_at)
         if not link.leaving:
-            self._takings.mark_lost(owner, link.hello.address, lived_at)
+            self._ownership.mark_lost(owner, link.hello.address, last_alive_at)
             if not self._links.list_peers():
                 self.give_up_uncertain("cut_off")
             self.reachability.probe(link.hello.address, owner)
-        # Whoever is asked in its place must know what it had let others start.
-        self._tellings.announce_pending(self._now)
+        # Other entries become the home of the jobs that the peer decided about. They
+        # must know which of these jobs it has granted to this entry.
+        self._announcements.announce_pending(self._now)
 
     def drop_stream(self, stream: int) -> None:
-        """Ask others what was asked on a stream that has ended."""
+        """Request jobs again whose request was sent on a closed stream."""
         self.homes.drop_stream(stream)
-        self._ask_again(stream)
+        self._retry_requests(stream)
 
-    def _ask_again(self, stream: int) -> None:
-        for name, asked in list(self._asked.items()):
-            if asked.stream == stream:
-                del self._asked[name]
-                self.submit(asked.job)
+    def _retry_requests(self, stream: int) -> None:
+        for name, pending in list(self._pending_requests.items()):
+            if pending.stream == stream:
+                del self._pending_requests[name]
+                self.submit(pending.job)
 
     def leave(self) -> None:
-        """Tell others what this entry has decided, as it decides nothing any more."""
+        """Stop being the home of any job, and announce the grants of this entry.
+
+        The entries that become the home of these jobs need them.
+        """
         self.homes.leaving = True
         granted = self.homes.grants.list_by_owner()
         for link in self._links.list_peers():
-            self._tellings.announce_grants(link.stream, granted, self._now)
+            self._announcements.announce_grants(link.stream, granted, self._now)
 
     def give_up_uncertain(self, reason: str) -> None:
-        """Give up the jobs that others may have taken unheard.
+        """Give up the jobs that another entry may own without this entry's knowledge.
 
-        After this entry lost all others at once, their callers may be elsewhere. Agents
-        that it doesn't meet can't tell; started here again, a task would run twice.
+        When this entry loses all its peers at once, the callers of its jobs may have
+        submitted them at another entry. The agents that run them there may have no
+        stream to this entry and can't tell; if a task were started here again, it would
+        run twice.
         """
-        if self._sees_all_agents:
+        if self._connects_to_all_agents:
             return
         for job in list(self._dispatcher.jobs.values()):
             self._dispatcher.give_up(job, reason)
 
     def may_run_elsewhere(self) -> bool:
-        """Tell whether a job that lost its runs may have been taken elsewhere."""
-        return not self._sees_all_agents and self._is_blind()
+        """Tell whether a job that lost its runs may by now have another owner."""
+        return not self._connects_to_all_agents and self._may_miss_owners()
 
-    def _is_blind(self) -> bool:
-        return self._takings.may_be_incomplete(self._now, self._sees_all_agents)
+    def _may_miss_owners(self) -> bool:
+        return self._ownership.may_be_incomplete(
+            self._now, self._connects_to_all_agents
+        )
 
     def handle_peer_connected(self, link: Link) -> None:
-        """Note a peer's new stream, and tell it what was taken here."""
+        """React to a new stream to a peer: announce the known owners of jobs on it."""
         lost = self.reachability.mark_connected(link)
         if lost:
-            self._takings.mark_connected(lost)
-        # A peer that was started later must know what was taken before, also by
-        # entries that are gone: their runs may live on under a lease. One of them
-        # is its own former process, whose callers come to the same address again.
-        self._tellings.announce_all(link.stream, self._list_taken(), self._now)
-        self._tellings.announce_unreachable_owners(
-            link.stream, self._takings, self._now
+            self._ownership.mark_connected(lost)
+        # A peer that was started later must know the earlier owners of jobs, also those
+        # that are gone: their runs may be alive until a lease expires. One of them may
+        # be the former process at the peer's address, whose callers submit their jobs
+        # at the same address again.
+        self._announcements.announce_all(link.stream, self._list_owned(), self._now)
+        self._announcements.announce_unreachable_owners(
+            link.stream, self._ownership, self._now
         )
         granted = self.homes.grants.list_by_owner()
-        self._tellings.announce_grants(link.stream, granted, self._now)
+        self._announcements.announce_grants(link.stream, granted, self._now)
 
     def process_due(self) -> None:
-        """Act on what has become due."""
+        """Process the yields, held jobs and requests that may proceed now."""
         self._answer_yields()
-        self._sort_in_all()
+        self._resolve_undecided()
         self.homes.retry_waiting()
 
-    def _sort_in(self, job: Job) -> None:
+    def _resolve_owner(self, job: Job) -> None:
         name = job.spec.job
-        owner = self._takings.find_owner(name)
+        owner = self._ownership.find_owner(name)
         if self._is_stopping(name):
-            self._unsorted[name] = job
+            self._undecided[name] = job
         elif owner not in ("", self._links.own_incarnation):
-            self._reach_owner(job, owner)
+            self._contact_owner(job, owner)
         else:
             self._acquire(job)
 
     def _is_stopping(self, name: str) -> bool:
-        """Tell whether an earlier submission of a job is being stopped here."""
+        """Tell whether an earlier submission of a job is still being stopped here."""
         return name in self._dispatcher.jobs or name in self._delayed
 
     def _acquire(self, job: Job) -> None:
-        """Ask the job's home whether it may start here."""
+        """Request a job from its home, or decide if this entry is the home."""
         name = job.spec.job
         route = self.homes.find_route(name)
         if route is None:
             self._hold(job)
         elif route == LOCAL_ROUTE:
-            holder = self.homes.decide(name, self._links.own_incarnation)
-            self._hear_holder(job, holder)
+            current_owner = self.homes.decide(name, self._links.own_incarnation)
+            self._handle_decision(job, current_owner)
         else:
             number = self.homes.request_job(name, route)
-            self._asked[name] = PendingRequest(job, route.stream, number)
+            self._pending_requests[name] = PendingRequest(job, route.stream, number)
 
     def find_home(self, name: str) -> Link | None:
-        """Find the entry that decides about a job, if it is another one."""
+        """Return the link to a job's home; ``None`` if it is here or unknown."""
         route = self.homes.find_route(name)
         return self._links.get(route.stream) if route and route.stream else None
 
     def try_acquire(self, name: str) -> bool:
-        """Tell whether this entry decides about a job, and may start it."""
-        if not self.synced or self._takings.find_owner(name) or self._is_blind():
+        """Acquire a job that has no owner, if this entry is its home.
+
+        :return: whether the job was acquired.
+        """
+        if (
+            not self.synced
+            or self._ownership.find_owner(name)
+            or self._may_miss_owners()
+        ):
             return False
         own = self._links.own_incarnation
         is_home = self.homes.find_route(name) == LOCAL_ROUTE
         return is_home and self.homes.decide(name, own) == own
 
-    def _hear_holder(self, job: Job, holder: str | None) -> None:
-        if holder is None:
-            self._unsorted[job.spec.job] = job
-        elif holder == self._links.own_incarnation:
+    def _handle_decision(self, job: Job, current_owner: str | None) -> None:
+        if current_owner is None:
+            self._undecided[job.spec.job] = job
+        elif current_owner == self._links.own_incarnation:
             self.start(job)
         else:
-            self._reach_owner(job, holder)
+            self._contact_owner(job, current_owner)
 
-    def _reach_owner(self, job: Job, owner: str) -> None:
-        """Let a job's callers wait at the entry that has it, or stop that one."""
+    def _contact_owner(self, job: Job, owner: str) -> None:
+        """Make a job's callers wait at its owner, or ask a silent owner to stop it."""
         link = self._links.find(owner)
         if link is not None and self._links.is_fresh(link, self._now):
             self.join(job, link)
         else:
-            self._ask_owner(job, owner)
+            self._request_yield(job, owner)
 
     def start(self, job: Job) -> None:
-        """Start a job that this entry may start."""
-        if job.contested or self._may_run_unheard(job):
+        """Start a job that was granted to this entry.
+
+        If a lost entry may still have runs of it, they are stopped first.
+        """
+        if job.contested or self._may_run_at_lost_peer(job):
             self._claim(job)
         else:
-            self._take(job)
+            self._dispatch(job)
 
-    def _may_run_unheard(self, job: Job) -> bool:
-        if not self._is_blind():
+    def _may_run_at_lost_peer(self, job: Job) -> bool:
+        if not self._may_miss_owners():
             return False
-        return self._sees_all_agents or self.homes.may_be_lost(job.spec.job)
+        return self._connects_to_all_agents or self.homes.may_be_lost(job.spec.job)
 
     def handle_acquire(self, link: Link, message: Acquire) -> None:
-        """Decide whether another entry may start a job, or pass the question on."""
+        """Decide about a job that another entry requests, or relay the request."""
         job, owner, number, acting, hops = message
         request = AcquireRequest(job, owner, number, link.stream, acting, hops)
         self.homes.handle_request(request)
 
     def handle_acquired(self, link: Link, message: Acquired) -> None:
-        """Take the answer of a job's home."""
+        """Process the answer of a job's home to a request."""
         self.homes.handle_answer(link.stream, message)
-        asked = self._asked.get(message.job)
+        pending = self._pending_requests.get(message.job)
         own = message.asker == self._links.own_incarnation
-        if not own or asked is None or asked.number != message.number:
+        if not own or pending is None or pending.number != message.number:
             return
         if not message.owner:
-            self._asked[message.job] = asked._replace(stream=RETRY_STREAM)
+            self._pending_requests[message.job] = pending._replace(stream=RETRY_STREAM)
         else:
-            del self._asked[message.job]
-            self._hear_holder(asked.job, message.owner)
+            del self._pending_requests[message.job]
+            self._handle_decision(pending.job, message.owner)
 
     def handle_release(self, link: Link, message: Release) -> None:
-        """Note that nothing of some jobs is left at another entry."""
+        """Record that no run of some jobs is left at another entry."""
         del link
         self.homes.handle_release(message)
 
-    def _is_here(self, name: str) -> bool:
+    def _is_owned_here(self, name: str) -> bool:
         delayed = self._delayed.get(name)
         claiming = delayed is not None and delayed.claiming and not delayed.abandoned
         return name in self._dispatcher.jobs or claiming or self.has_forwarded(name)
 
-    def _find_holder(self, name: str) -> str | None:
-        """Find the entry that has a job; ``None`` while its runs are being stopped."""
+    def _find_current_owner(self, name: str) -> str | None:
+        """Return the incarnation of the entry that owns a job.
+
+        :return: empty if no entry owns it; ``None`` while its runs are being stopped.
+        """
         own = self._links.own_incarnation
         job = self._dispatcher.jobs.get(name)
         if job is not None and job.ending:
             return None
-        if self._is_here(name):
+        if self._is_owned_here(name):
             return own
-        owner = self.homes.grants.find_owner(name) or self._takings.find_owner(name)
-        if owner in ("", own) or self._is_over(owner):
+        owner = self.homes.grants.find_owner(name) or self._ownership.find_owner(name)
+        if owner in ("", own) or self._has_expired(owner):
             return ""
         return owner
 
-    def _is_over(self, owner: str) -> bool:
-        """Tell whether nothing runs by the orders of an entry any more."""
+    def _has_expired(self, owner: str) -> bool:
+        """Tell whether no run that an entry ordered can be alive any more."""
         if self._links.find(
             owner
         ) is not None or self.reachability.is_indirectly_reachable(owner):
             return False
-        return self._takings.get_expiry(owner, self._now) <= self._now
+        return self._ownership.get_expiry(owner, self._now) <= self._now
 
     def _release(self, name: str) -> None:
-        self._tellings.forget(name)
+        self._announcements.forget(name)
         self.homes.release(name)
 
     def _must_wait(self, job: Job) -> bool:
-        """Tell whether a lost entry may run a job that can't be asked for."""
+        """Tell whether a held job must wait longer.
+
+        That is so while an earlier submission of it is being stopped here, and while
+        its home may be a lost entry and neither an owner nor all agents can be asked.
+        """
         if self._is_stopping(job.spec.job):
             return True
-        if self._sees_all_agents or self._takings.find_owner(job.spec.job):
+        if self._connects_to_all_agents or self._ownership.find_owner(job.spec.job):
             return False
-        return self._is_blind() and self.homes.find_route(job.spec.job) is None
+        return self._may_miss_owners() and self.homes.find_route(job.spec.job) is None
 
-    def _sort_in_all(self) -> None:
-        if not self._unsorted or not self.synced:
+    def _resolve_undecided(self) -> None:
+        if not self._undecided or not self.synced:
             return
-        for job in list(self._unsorted.values()):
+        for job in list(self._undecided.values()):
             if not self._must_wait(job):
-                del self._unsorted[job.spec.job]
-                self._sort_in(job)
+                del self._undecided[job.spec.job]
+                self._resolve_owner(job)
 
     def _claim(self, job: Job) -> None:
-        """Ask the agents to stop what others run of a job.
+        """Ask the agents to stop all runs of a job that other entries ordered.
 
-        An entry that can't be reached may have taken it. A failure shows as a
-        task that runs twice after its caller went from one entry to the other. An
-        agent that doesn't answer may run it until the lost entry's orders are over.
+        An unreachable entry may own the job. Without the claim, a task would run twice
+        after the job's caller went from that entry to this one. An agent that doesn't
+        answer may run the job until the leases of the lost entry's runs expire.
         """
         name = job.spec.job
         views = self._dispatcher.fleet.views
         if not views:
-            self._take(job)
+            self._dispatch(job)
             return
         start_at = self._now + CLAIM_TIMEOUT_SECONDS
         if self.homes.may_be_lost(name):
-            start_at = max(start_at, self._takings.get_last_expiry())
+            start_at = max(start_at, self._ownership.get_last_expiry())
         delayed = Delayed(job, self._now, start_at)
         delayed.claim(views)
         self._delayed[name] = delayed
-        self._note_delay(name, "claimed", start_at)
-        self._tellings.announce(name, self._now)
+        self._log_delay(name, "claimed", start_at)
+        self._announcements.announce(name, self._now)
         for stream in views:
             self._send(stream, Claim(name))
 
     def handle_claimed(self, view: AgentView, message: Claimed) -> None:
-        """Count off an agent that runs nothing of a job by others' orders."""
+        """Process an agent's answer to the claim of a job."""
         delayed = self._delayed.get(message.job)
         if delayed is None or not delayed.claiming:
             return
@@ -453,67 +487,67 @@
             del self._delayed[message.job]
             self._release(message.job)
             if not delayed.abandoned:
-                self._give_up_unknown(delayed.job, "claimed_elsewhere")
+                self._give_up_possibly_run(delayed.job, "claimed_elsewhere")
             return
-        if delayed.hear_claimed(view.stream, message.over) and self._knows_agents:
+        if delayed.hear_claimed(view.stream, message.over) and self._all_agents_known:
             self._start_now(delayed)
 
     @property
-    def _knows_agents(self) -> bool:
-        """Whether no agent can run a job that isn't asked for it."""
-        young = self._readiness.is_recently_active
-        return not young and not self._dispatcher.fleet.misses(self._now)
+    def _all_agents_known(self) -> bool:
+        """Whether every agent that may run a job is known and can be asked."""
+        recently_active = self._readiness.is_recently_active
+        return not recently_active and not self._dispatcher.fleet.misses(self._now)
 
-    def _take(self, job: Job) -> None:
+    def _dispatch(self, job: Job) -> None:
         name = job.spec.job
         self._dispatcher.submit(job)
         if name in self._dispatcher.jobs:
-            self._tellings.announce(name, self._now)
+            self._announcements.announce(name, self._now)
         elif not self.has_forwarded(name):
             self._release(name)
 
     def announce_changes(self) -> None:
-        """Tell other entries what was taken and released since the last time."""
-        self._tellings.announce_pending(self._now)
+        """Announce the jobs started and released since the last announcement."""
+        self._announcements.announce_pending(self._now)
         self.homes.announce_released()
 
-    def _note_delay(self, name: str, reason: str, until: float) -> None:
+    def _log_delay(self, name: str, reason: str, until: float) -> None:
         self._counts.add("jobs_delayed", reason)
         seconds = round(max(0.0, until - self._now), 3)
-        self._note("job_delayed", name, reason=reason, s=seconds)
+        self._log_decision("job_delayed", name, reason=reason, s=seconds)
 
-    def _ask_owner(self, job: Job, owner: str) -> None:
+    def _request_yield(self, job: Job, owner: str) -> None:
         name = job.spec.job
         link = self._links.find(owner)
         start_at = self._now + YIELD_TIMEOUT_SECONDS
         if link is not None:
             self._send(link.stream, Yield(name, ""))
         elif not self.reachability.relay_yield(name, owner):
-            start_at = self._takings.get_expiry(owner, self._now)
+            start_at = self._ownership.get_expiry(owner, self._now)
         reason = "owner_gone" if link is None else "asked"
-        self._note_delay(name, reason, start_at)
+        self._log_delay(name, reason, start_at)
         self._delayed[name] = Delayed(job, self._now, start_at)
 
     def handle_yielded(self, link: Link, message: Yielded) -> None:
-        """Another entry has stopped a job."""
+        """React to the message that no run of a job is left at another entry."""
         name = message.job
         self._yields.answer_relayed(name)
         delayed = self._delayed.get(name)
         awaited = delayed is not None and not delayed.claiming
-        if awaited or self._takings.find_owner(name) == link.hello.incarnation:
-            self._takings.forget(name)
+        if awaited or self._ownership.find_owner(name) == link.hello.incarnation:
+            self._ownership.forget(name)
         if delayed is not None and awaited:
-            self._acquire_next(delayed)
+            self._resubmit(delayed)
 
-    def _acquire_next(self, delayed: Delayed) -> None:
+    def _resubmit(self, delayed: Delayed) -> None:
         del self._delayed[delayed.job.spec.job]
         if not delayed.abandoned:
             self.submit_contested(delayed.job)
 
     def submit_contested(self, job: Job) -> None:
-        """Start a job that another entry has had, once its home lets it."""
-        # That one may have claimed the job at agents; they take no runs of it from
-        # this entry unless it claims it, too.
+        """Submit a job here that another entry has owned before."""
+        # The previous owner may have claimed the job at agents. They accept no run of
+        # it from this entry until this entry has claimed it, too.
         job.contested = True
         job.ran = True
         self.submit(job)
@@ -521,44 +555,44 @@
     def _start_now(self, delayed: Delayed) -> None:
         del self._delayed[delayed.job.spec.job]
         if not delayed.abandoned:
-            self._take(delayed.job)
+            self._dispatch(delayed.job)
 
     def start_delayed(self) -> None:
-        """Start the jobs that have waited long enough."""
-        self._ask_again(RETRY_STREAM)
+        """Start the delayed jobs whose wait is over, or extend their wait."""
+        self._retry_requests(RETRY_STREAM)
         for name, delayed in list(self._delayed.items()):
             if delayed.start_at > self._now:
                 continue
             if delayed.claiming:
-                if self._is_claimed(delayed):
+                if self._is_claim_complete(delayed):
                     self._start_now(delayed)
                 continue
-            owner = self._takings.find_owner(name)
+            owner = self._ownership.find_owner(name)
             link = self._links.find(owner)
             if link is not None:
-                # It answers, but has not said that all is stopped.
+                # The owner is reachable but hasn't confirmed that all runs are stopped.
                 delayed.start_at = self._now + YIELD_TIMEOUT_SECONDS
                 self._send(link.stream, Yield(name, ""))
                 continue
             if self.reachability.relay_yield(name, owner):
                 delayed.start_at = self._now + YIELD_TIMEOUT_SECONDS
                 continue
-            lapse = self._takings.get_expiry(owner, self._now)
-            if owner and lapse > self._now:
-                delayed.start_at = lapse
+            expiry = self._ownership.get_expiry(owner, self._now)
+            if owner and expiry > self._now:
+                delayed.start_at = expiry
                 continue
-            self._takings.forget(name)
-            self._acquire_next(delayed)
+            self._ownership.forget(name)
+            self._resubmit(delayed)
 
-    def _is_claimed(self, delayed: Delayed) -> bool:
+    def _is_claim_complete(self, delayed: Delayed) -> bool:
         views = self._dispatcher.fleet.views
         links = {stream: view.link for stream, view in views.items()}
         return delayed.may_start(
-            links, self._now, not self._takings.all_losses_confirmed
+            links, self._now, not self._ownership.all_losses_confirmed
         )
 
     def handle_yield(self, link: Link, message: Yield) -> None:
-        """Stop a job whose caller came to another entry, or pass that on."""
+        """Stop a job whose caller came to another entry, or relay that to its owner."""
         if message.owner not in ("", self._links.own_incarnation):
             owner = self._links.find(message.owner)
             if owner is not None:
@@ -569,33 +603,41 @@
         self._abandon(message.job)
         if job is not None:
             if not message.owner:
-                self._join_taker(job, link)
+                self._move_callers(job, link)
             self._dispatcher.give_up(job, "submitted_elsewhere")
 
-    def _join_taker(self, job: Job, link: Link) -> None:
-        """Let the callers of a job that goes to another entry wait there."""
+    def _move_callers(self, job: Job, link: Link) -> None:
+        """Make the remaining callers of a job wait at the entry that takes it over."""
         if job.callers and not job.ending:
             waiting = Job(job.spec, job.queue, 0, self._now, job.deadline - self._now)
             waiting.callers, job.callers = job.callers, []
             self.join(waiting, link)
 
     def record_forwarded(self, name: str, server: str) -> None:
-        """Note that a job which this entry had handed on may still run there."""
-        self._takings.record(name, 0.0, server, self._now)
+        """Record that a job may still run at the entry that it was forwarded to.
+
+        :param server: incarnation of that entry.
+        """
+        self._ownership.record(name, 0.0, server, self._now)
         self.homes.grants.transfer(name, server, self._now)
         home = self.find_home(name)
         if home is not None:
-            taking = Ownership(server, self._now)
-            self._tellings.announce_previous_owner(home.stream, name, taking, self._now)
+            ownership = Ownership(server, self._now)
+            self._announcements.announce_previous_owner(
+                home.stream, name, ownership, self._now
+            )
 
     def handle_join(self, link: Link, name: str) -> None:
-        """Tell an entry whose caller wants to wait here that the job isn't here.
+        """Register an entry whose caller was to wait here for a job that isn't here.
 
-        It is told so once nothing of it runs here any more.
+        It gets ``Yielded`` once no run of the job is left here. If the job has another
+        known owner, that is announced to it at once.
         """
-        known = self._takings.get(name)
+        known = self._ownership.get(name)
         if known is not None and known.incarnation != link.hello.incarnation:
-            self._tellings.announce_previous_owner(link.stream, name, known, self._now)
+            self._announcements.announce_previous_owner(
+                link.stream, name, known, self._now
+            )
         self._yields.add(name, link.stream)
 
     def _abandon(self, name: str) -> None:
@@ -613,53 +655,68 @@
                 self.homes.announce_released()
             self._yields.answer(name)
 
-    def _list_taken(self) -> list[Job]:
-        """List the jobs that may have runs here; others wait until they may start."""
-        taken = [*self._dispatcher.jobs.values()]
-        taken += [each.job for each in self._delayed.values() if each.claiming]
-        return taken
+    def _list_owned(self) -> list[Job]:
+        """List the jobs that may have runs ordered by this entry.
+
+        Other jobs here still wait for permission to start.
+        """
+        owned = [*self._dispatcher.jobs.values()]
+        owned += [each.job for each in self._delayed.values() if each.claiming]
+        return owned
 
     def handle_took(self, link: Link, message: Took) -> None:
-        """Note what another entry has taken."""
+        """Record the jobs that another entry owns, or that it knows the owner of."""
         owner = message.owner or link.hello.incarnation
         if not message.owner:
             self._readiness.record_announcement(owner)
-            self._takings.mark_connected(owner)
+            self._ownership.mark_connected(owner)
             self.reachability.forward_ownership(link, message)
         if owner == self._links.own_incarnation:
             return
         if self._links.find(owner) is None:
-            self._takings.record_unreachable(owner, self._now)
+            self._ownership.record_unreachable(owner, self._now)
         for name, age in zip(message.jobs, message.ages, strict=False):
-            known = self._takings.get(name)
+            known = self._ownership.get(name)
             if not message.owner and known and known.incarnation != owner:
-                # It may not reach the one that had the job before.
-                self._tellings.announce_previous_owner(
+                # The new owner may have no contact to the previous one.
+                self._announcements.announce_previous_owner(
                     link.stream, name, known, self._now
                 )
-            self._takings.record(name, age, owner, self._now)
-            self.homes.grants.transfer(name, self._takings.find_owner(name), self._now)
-            self._give_way(name, age, link if not message.owner else None)
-            self._ask_earlier(name, age, owner)
+            self._ownership.record(name, age, owner, self._now)
+            self.homes.grants.transfer(
+                name, self._ownership.find_owner(name), self._now
+            )
+            self._yield_to_later_owner(name, age, link if not message.owner else None)
+            self._request_yield_of_earlier_owner(name, age, owner)
 
-    def _give_way(self, name: str, age: float, taker: Link | None) -> None:
-        """Give up a job that another entry took later, for lost here.
+    def _yield_to_later_owner(
+        self, name: str, age: float, new_owner: Link | None
+    ) -> None:
+        """Give up a job that another entry owns since a later time than this entry.
 
-        While this entry was cut off or suspended, the caller went to the other one.
+        Its caller went to the other entry while this one was cut off or suspended.
 
-        :param taker: the other entry, if it is reached.
+        :param age: seconds since the other entry became the owner.
+        :param new_owner: link to the other entry, if it is connected.
         """
         job = self._dispatcher.jobs.get(name)
         if job is not None and self._now - job.arrival > age:
-            if taker is not None:
-                self._join_taker(job, taker)
+            if new_owner is not None:
+                self._move_callers(job, new_owner)
             self._dispatcher.give_up(job, "submitted_elsewhere")
 
-    def _ask_earlier(self, name: str, age: float, owner: str) -> None:
-        """Ask an entry that had a job before this one, which claims it unknowing."""
+    def _request_yield_of_earlier_owner(
+        self, name: str, age: float, owner: str
+    ) -> None:
+        """Ask an earlier owner to yield a job, instead of claiming it at the agents.
+
+        Nothing was known of that owner when this entry claimed the job.
+
+        :param age: seconds since the other entry became the owner.
+        """
         delayed = self._delayed.get(name)
         if delayed is None or delayed.abandoned or not delayed.claiming:
             return
         if self._now - delayed.job.arrival < age:
             del self._delayed[name]
-            self._ask_owner(delayed.job, owner)
+            self._request_yield(delayed.job, owner)
--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -298,7 +298,7 @@
         "jobs that wait count as taken",
         f"{LEASED}/handover.py",
         " if each.claiming]\n",
-        "]\n        taken += self._unsorted.values()\n",
+        "]\n        owned += self._undecided.values()\n",
         f"{RUNS}/test_two_entries_exploration.py",
     ),
     Break(
@@ -348,8 +348,8 @@
     Break(
         "late peers are not told what was taken",
         f"{LEASED}/handover.py",
-        "        self._tellings.announce_all"
-        "(link.stream, self._list_taken(), self._now)",
+        "        self._announcements.announce_all"
+        "(link.stream, self._list_owned(), self._now)",
         "        pass",
         f"{RUNS}/test_meeting.py::"
         "test_a_job_whose_home_is_lost_is_known_by_what_its_entry_has_told",
@@ -412,8 +412,8 @@
     Break(
         "takings of lost entries are not passed on",
         f"{LEASED}/handover.py",
-        "        self._tellings.announce_unreachable_owners(\n"
-        "            link.stream, self._takings, self._now\n        )\n",
+        "        self._announcements.announce_unreachable_owners(\n"
+        "            link.stream, self._ownership, self._now\n        )\n",
         "",
         f"{RUNS}/test_failures.py::"
         "test_an_entry_killed_and_back_at_once_knows_what_it_had_taken",
