--- a/src/godwitbank/_internal/core/runs/claims.py
+++ b/src/godwitbank/_internal/core/runs/claims.py
@@ -1,9 +1,9 @@
-"""Claims of jobs at one agent: whose runs of a job may be here.
+"""Claims of jobs at one agent: which entry may have runs of a job here.
 
-Two entries that can't reach each other may both have a job. The agents reach both, and
-let the newest claim win: its caller went from one to the other. Of two claims at one
-moment agents may hear either first; there the claimants' order decides, so that no two
-entries win at an agent each.
+Two entries that can't reach each other may both own a job. The agents reach both, and
+let the newest claim win, as the job's caller went from the other entry to that one.
+Agents may receive two almost simultaneous claims in different order. The order of the
+claimants' incarnations decides between these, so that every agent picks the same entry.
 """
 
 from collections import OrderedDict
@@ -12,23 +12,23 @@
 from godwitbank._internal.core.runs.links import SILENCE
 
 CLAIM_RETENTION_SECONDS = 20.0
-"""Seconds a claim is kept; longer than any caller waits (10 s)."""
+"""Seconds for which a claim is kept; longer than any caller waits (10 s)."""
 
 
 SIMULTANEOUS_SECONDS = SILENCE
-"""Seconds between two claims within which agents may hear either first: what was held
-up for longer isn't read any more."""
+"""Seconds between two claims within which agents may receive them in either order. A
+frame that is delayed for longer isn't read any more, as its stream has timed out."""
 
 
 class Claimant(NamedTuple):
-    """The entry that claimed a job last."""
+    """The entry that claimed a job last, and when."""
 
     incarnation: str
     at: float
 
 
 class Claims:
-    """Claims at one agent, and the entries that wait for their answer."""
+    """Claims at one agent, and the streams of entries that wait for an answer."""
 
     def __init__(self) -> None:
         self._claims: OrderedDict[str, Claimant] = OrderedDict()
@@ -36,7 +36,7 @@
         self._stopping: set[str] = set()
 
     def add(self, job: str, incarnation: str, stream: int, now: float) -> None:
-        """Note a claim that is to be answered on a stream."""
+        """Record a claim that is to be answered on a stream."""
         self._claims.pop(job, None)
         self._claims[job] = Claimant(incarnation, now)
         self._unanswered[job] = stream
@@ -45,9 +45,12 @@
             self._claims.popitem(last=False)
 
     def find_winner(self, job: str, incarnation: str, now: float) -> str:
-        """Find who claimed a job at the same moment and goes before an entry.
+        """Return the entry whose claim wins against a new claim of the same job.
 
-        :return: that one's incarnation, or an empty string.
+        That is an almost simultaneous claimant with a greater incarnation.
+
+        :param incarnation: of the entry that claims the job now.
+        :return: the winner's incarnation, or an empty string if the new claim wins.
         """
         claimant = self._claims.get(job)
         if claimant is None or now - claimant.at > SIMULTANEOUS_SECONDS:
@@ -55,21 +58,24 @@
         return claimant.incarnation if claimant.incarnation > incarnation else ""
 
     def allows(self, job: str, incarnation: str) -> bool:
-        """Tell whether an entry may still start runs of a job."""
+        """Tell whether an entry may start runs of a job, by the last claim of it."""
         claimant = self._claims.get(job)
         return claimant is None or claimant.incarnation == incarnation
 
     def list_unanswered(self) -> list[str]:
-        """List the jobs whose claim has not been answered."""
+        """List the jobs whose last claim hasn't been answered completely."""
         return list(self._unanswered)
 
     def pop_answer_stream(self, job: str) -> int:
-        """Take the stream on which a claim is answered."""
+        """Mark a claim as answered, and return the stream for the answer."""
         self._stopping.discard(job)
         return self._unanswered.pop(job)
 
     def begin_stop(self, job: str) -> int | None:
-        """Note that runs are being stopped; returns the stream to tell so, once."""
+        """Record that other entries' runs of a job are being stopped.
+
+        :return: the stream on which to tell so; ``None`` if that was done already.
+        """
         if job in self._stopping:
             return None
         self._stopping.add(job)
--- a/src/godwitbank/_internal/core/runs/handover.py
+++ b/src/godwitbank/_internal/core/runs/handover.py
@@ -219,8 +219,9 @@
         """React to the end of the last stream to a peer."""
         owner = link.hello.incarnation
         self._readiness.mark_lost(owner)
-        # Other processes may have received a later sign of life from the peer than this
-        # entry did: later by up to ``SILENCE``, the longest interval between two.
+        # Other processes may have received a later heartbeat from the peer than this
+        # entry did: later by up to the timeout of a busy stream, the longest interval
+        # between two heartbeats.
         last_alive_at = min(self._now, link.heard_at + SILENCE)
         # This entry received nothing while its process was paused; the peer may have
         # been alive until the pause ended.
--- a/src/godwitbank/_internal/core/runs/homes.py
+++ b/src/godwitbank/_internal/core/runs/homes.py
@@ -117,8 +117,8 @@
 
         A release may be delayed on its way and arrive after the owner's next request
         for the same job; the newer grant is kept then. A release without a number
-        removes a numbered grant only once it is older than ``SILENCE``, the longest
-        time for which the release of an earlier grant may have been delayed.
+        removes a numbered grant only once it is older than the timeout of a busy
+        stream, the longest time for which an earlier release may have been delayed.
         """
         grant = self._grants.get(job)
         if grant is None or grant.owner != owner:
--- a/src/godwitbank/_internal/core/runs/indirect_probes.py
+++ b/src/godwitbank/_internal/core/runs/indirect_probes.py
@@ -1,9 +1,10 @@
-"""What other entries know of one that this entry can't reach.
+"""Indirect probes: other entries tell whether they reach one that this entry has lost.
 
-Where agents keep streams to some entries only, no entry reaches all agents, and agents
-can't tell alone whether a job still runs by another entry's orders. An entry that was
-lost is dead, or cut off from everybody; then its agents stop its runs. Or it is cut off
-from this entry alone: a task would run twice if its caller came here. Two others tell.
+Where agents keep streams to some of the entries only, no entry reaches all agents, and
+the agents that it reaches can't tell whether a job still runs by order of another
+entry. A lost entry may be dead or cut off from all other processes; its agents stop its
+runs then. Or it is cut off from this entry alone, its runs go on, and a task would run
+twice if its caller came here. Two other entries are asked which of the two it is.
 """
 
 from random import Random
@@ -12,141 +13,169 @@
 from godwitbank._internal.core.runs.links import Link
 
 INDIRECT_PROBE_COUNT = 2
-"""Entries that are asked. One may be about to end, or be cut off in the same way."""
+"""Entries that are asked about a lost one. A single entry might be about to stop, or be
+cut off in the same way as this one."""
 
 SUBSCRIPTION_SECONDS = 12.0
-"""Seconds for which an entry is told what one takes that it can't reach; longer than
-callers wait (10 s)."""
+"""Seconds for which an entry gets the announcements of a peer that it can't reach;
+longer than callers wait (10 s)."""
 
 
 class PendingProbe(NamedTuple):
-    """A lost entry, and whose answers are missing."""
+    """A probe of a lost entry.
+
+    :param address: of the lost entry.
+    :param streams: to the entries that haven't answered yet.
+    """
 
     address: str
     streams: frozenset[int]
 
 
 class IndirectProbes:
-    """Questions about entries that this one has lost."""
+    """Probes of entries that this one has lost."""
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
-        self._open: dict[str, PendingProbe] = {}
-        self._reachable: dict[str, int] = {}
+        self._pending: dict[str, PendingProbe] = {}
+        self._relays: dict[str, int] = {}
 
     def start(self, address: str, peers: list[Link]) -> list[Link]:
-        """Choose whom to ask for a lost entry; nobody if nobody is there."""
+        """Start to probe a lost entry.
+
+        :return: links to the entries to ask; none if no peer is connected.
+        """
         chosen = self._rng.sample(peers, min(INDIRECT_PROBE_COUNT, len(peers)))
         if chosen:
             streams = frozenset(link.stream for link in chosen)
-            self._open[address] = PendingProbe(address, streams)
+            self._pending[address] = PendingProbe(address, streams)
         return chosen
 
     def handle_answer(self, stream: int, address: str, reachable: bool) -> bool:
-        """Take an answer; tells whether the lost entry is gone for all that know."""
+        """Record an answer.
+
+        :return: whether all that were asked have answered that they can't reach it.
+        """
         if reachable:
-            self._open.pop(address, None)
-            self._reachable[address] = stream
+            self._pending.pop(address, None)
+            self._relays[address] = stream
             return False
-        if self._reachable.get(address) == stream:
-            del self._reachable[address]
-        question = self._open.get(address)
-        if question is None or stream not in question.streams:
+        if self._relays.get(address) == stream:
+            del self._relays[address]
+        probe = self._pending.get(address)
+        if probe is None or stream not in probe.streams:
             return False
-        left = question.streams - {stream}
-        self._open[address] = question._replace(streams=left)
-        if left:
+        remaining = probe.streams - {stream}
+        self._pending[address] = probe._replace(streams=remaining)
+        if remaining:
             return False
-        del self._open[address]
+        del self._pending[address]
         return True
 
     def is_reachable_through(self, stream: int, address: str) -> bool:
         """Tell whether the entry on a stream has said that it reaches a lost one."""
-        return self._reachable.get(address) == stream
+        return self._relays.get(address) == stream
 
     def is_reachable(self, address: str) -> bool:
-        """Tell whether somebody reaches a lost entry."""
-        return address in self._reachable
+        """Tell whether any other entry reaches a lost one."""
+        return address in self._relays
 
     def list_reachable(self) -> dict[str, int]:
-        """List streams to those that reach lost entries, by these ones' addresses."""
-        return dict(self._reachable)
+        """List streams to entries that reach lost ones, by the lost ones' addresses."""
+        return dict(self._relays)
 
     def forget(self, address: str) -> None:
-        """Forget an entry that is reached again."""
-        self._open.pop(address, None)
-        self._reachable.pop(address, None)
+        """Forget a lost entry that is connected again."""
+        self._pending.pop(address, None)
+        self._relays.pop(address, None)
 
     def drop_stream(self, stream: int) -> list[str]:
-        """Forget a stream that has ended; returns what must be asked of others."""
+        """Drop a closed stream.
+
+        :return: addresses of the lost entries that must be probed through others.
+        """
         unanswered = []
-        for address, question in list(self._open.items()):
-            left = question.streams - {stream}
-            self._open[address] = question._replace(streams=left)
-            if not left:
-                del self._open[address]
+        for address, probe in list(self._pending.items()):
+            remaining = probe.streams - {stream}
+            self._pending[address] = probe._replace(streams=remaining)
+            if not remaining:
+                del self._pending[address]
                 unanswered.append(address)
-        for address, witness in list(self._reachable.items()):
-            if witness == stream:
-                del self._reachable[address]
+        for address, relay in list(self._relays.items()):
+            if relay == stream:
+                del self._relays[address]
                 unanswered.append(address)
         return unanswered
 
 
 class Subscriber(NamedTuple):
-    """An entry that has lost another one, and since when it asks."""
+    """An entry that probes another one.
+
+    :param asked_at: when it sent the probe, in seconds.
+    """
 
     stream: int
     asked_at: float
 
 
 class ProbeRequests:
-    """Questions of other entries about those that this one may reach."""
+    """Probes by other entries, about entries that this one may reach."""
 
     def __init__(self) -> None:
-        self._asked: dict[str, list[Subscriber]] = {}
-        self._followers: dict[str, list[Subscriber]] = {}
+        self._unanswered: dict[str, list[Subscriber]] = {}
+        self._subscribers: dict[str, list[Subscriber]] = {}
 
     def add(self, address: str, stream: int, now: float) -> None:
-        """Note a question; it is answered when the entry is heard, or lost."""
-        self._asked.setdefault(address, []).append(Subscriber(stream, now))
+        """Record a probe, to be answered at the entry's next frame or its loss."""
+        self._unanswered.setdefault(address, []).append(Subscriber(stream, now))
 
     def handle_alive(self, address: str) -> list[int]:
-        """Note that an entry was heard; returns whom to tell so."""
-        asked = self._asked.pop(address, None)
-        if asked is None:
+        """Record that a frame from an entry arrived.
+
+        :return: streams on which to tell so. Their entries get the announcements of
+            that entry from now on.
+        """
+        probes = self._unanswered.pop(address, None)
+        if probes is None:
             return []
-        self._followers.setdefault(address, []).extend(asked)
-        return [each.stream for each in asked]
+        self._subscribers.setdefault(address, []).extend(probes)
+        return [each.stream for each in probes]
 
     def handle_loss(self, address: str, now: float) -> list[int]:
-        """Note that an entry was lost; returns whom to tell so.
+        """Record that an entry was lost.
+
+        Recent probes stay open, so that they are answered again if another process
+        starts at the same address.
 
-        They are told again if another process starts at its address.
+        :return: streams on which to tell so.
         """
-        told = self._asked.pop(address, []) + self._followers.pop(address, [])
-        fresh = [each for each in told if now - each.asked_at < SUBSCRIPTION_SECONDS]
+        recipients = self._unanswered.pop(address, []) + self._subscribers.pop(
+            address, []
+        )
+        fresh = [
+            each for each in recipients if now - each.asked_at < SUBSCRIPTION_SECONDS
+        ]
         if fresh:
-            self._asked[address] = fresh
-        return [each.stream for each in told]
+            self._unanswered[address] = fresh
+        return [each.stream for each in recipients]
 
     def list_subscribers(self, address: str, now: float) -> list[int]:
-        """List whom to tell what an entry has taken."""
-        if address not in self._followers:
+        """List the streams on which to forward the announcements of an entry."""
+        if address not in self._subscribers:
             return []
-        self._followers[address] = [
+        self._subscribers[address] = [
             each
-            for each in self._followers[address]
+            for each in self._subscribers[address]
             if now - each.asked_at < SUBSCRIPTION_SECONDS
         ]
-        return [each.stream for each in self._followers[address]]
+        return [each.stream for each in self._subscribers[address]]
 
     def drop_stream(self, stream: int) -> None:
-        """Forget an entry that asked, and whose stream has ended."""
-        for asked in (self._asked, self._followers):
-            for address in list(asked):
-                left = [each for each in asked[address] if each.stream != stream]
-                if left:
-                    asked[address] = left
+        """Drop the probes that came on a closed stream."""
+        for probes in (self._unanswered, self._subscribers):
+            for address in list(probes):
+                remaining = [each for each in probes[address] if each.stream != stream]
+                if remaining:
+                    probes[address] = remaining
                 else:
-                    del asked[address]
+                    del probes[address]
--- a/src/godwitbank/_internal/core/runs/liveness.py
+++ b/src/godwitbank/_internal/core/runs/liveness.py
@@ -1,4 +1,4 @@
-"""Until when the entries whose runs are at an endpoint are known to have lived."""
+"""When the entries that have runs at an endpoint were last known to be alive."""
 
 import math
 from collections.abc import Iterable
@@ -7,29 +7,32 @@
 
 
 class EntryLiveness:
-    """Proofs of life of entries, on the clock of one agent.
+    """When entries were last known to be alive, on the clock of one agent.
 
     An entry's runs must not outlive it: its callers submit their jobs again elsewhere,
-    and a task would run twice. An agent that lives stops them; one that dies between
-    its entry's end and the stop leaves them to a lease, which must not be longer than
-    the entry is known to have lived.
+    and a task would run twice. The agent stops the runs of a dead entry. If the agent
+    dies between the entry's end and that stop, only the lease ends the runs, so it must
+    be bounded by the last time at which the entry was known to be alive.
     """
 
     def __init__(self) -> None:
-        self._proved: dict[str, float] = {}
+        self._last_alive_at: dict[str, float] = {}
 
     def record_alive(self, owner: str, at: float) -> None:
-        """Note that an entry lived at a moment."""
-        self._proved[owner] = max(at, self._proved.get(owner, -math.inf))
+        """Record that an entry was alive at a time."""
+        self._last_alive_at[owner] = max(at, self._last_alive_at.get(owner, -math.inf))
 
     def retain(self, owners: Iterable[str]) -> None:
-        """Forget all entries but some."""
+        """Forget all entries but the given ones."""
         kept = set(owners)
-        self._proved = {
-            owner: at for owner, at in self._proved.items() if owner in kept
+        self._last_alive_at = {
+            owner: at for owner, at in self._last_alive_at.items() if owner in kept
         }
 
     def find_lease_end(self, owners: Iterable[str]) -> float:
-        """Tell when what runs for some entries must be over, without a new proof."""
-        proofs = (self._proved.get(owner, -math.inf) for owner in owners)
-        return min(proofs, default=math.inf) + LIFE_SECONDS
+        """Return when a lease on behalf of some entries must end.
+
+        Later heartbeats from these entries allow a later end.
+        """
+        last_alive = (self._last_alive_at.get(owner, -math.inf) for owner in owners)
+        return min(last_alive, default=math.inf) + LIFE_SECONDS
--- a/src/godwitbank/_internal/core/runs/ownership_announcements.py
+++ b/src/godwitbank/_internal/core/runs/ownership_announcements.py
@@ -1,4 +1,4 @@
-"""What one entry tells others of the jobs that it has from callers."""
+"""Announcements of job owners to other entries."""
 
 from collections.abc import Callable, Iterable
 
@@ -10,75 +10,82 @@
 from godwitbank._internal.models.run_messages import Took
 
 MAX_IMMEDIATE_PEERS = 4
-"""Other entries that are told at once of each job taken. Where there are more, they are
-told with the next proof of life: it is asked for only where a job's home is lost, and
-frames for each job to each entry would grow with the product."""
+"""Up to this many peers get an announcement of each job at once. More peers get the
+announcements of several jobs together with the next heartbeat: they are needed only
+when a job's home is lost, and the number of frames would grow with the product of jobs
+and entries otherwise."""
 
 
 class OwnershipAnnouncements:
-    """Tells other entries of jobs: at once to few, together to many."""
+    """Announces the jobs of this entry to its peers.
+
+    Few peers get each job at once, many get them in batches.
+    """
 
     def __init__(self, links: Links) -> None:
         self._links = links
-        self._untold: dict[str, float] = {}
-        self._out: Callable[[RunAction], None] = lambda action: None
+        self._pending: dict[str, float] = {}
+        self._emit: Callable[[RunAction], None] = lambda action: None
 
-    def begin_event(self, out: Callable[[RunAction], None]) -> None:
-        """Prepare for one event."""
-        self._out = out
+    def begin_event(self, emit: Callable[[RunAction], None]) -> None:
+        """Set where actions go for one event."""
+        self._emit = emit
 
     def announce(self, name: str, now: float) -> None:
-        """Tell of a job, or remember to."""
+        """Announce a job to all peers, or queue it for the next batch."""
         peers = self._links.list_peers()
         if len(peers) > MAX_IMMEDIATE_PEERS:
-            self._untold[name] = now
+            self._pending[name] = now
             return
         for link in peers:
-            self._out(Send(link.stream, Took([name], [0.0], "")))
+            self._emit(Send(link.stream, Took([name], [0.0], "")))
 
     def forget(self, name: str) -> None:
-        """Forget to tell of a job of which nothing is left."""
-        self._untold.pop(name, None)
+        """Remove a job of which no run is left from the next batch."""
+        self._pending.pop(name, None)
 
     def announce_pending(self, now: float) -> None:
-        """Tell of all jobs that were remembered."""
-        if not self._untold:
+        """Announce all queued jobs to all peers."""
+        if not self._pending:
             return
-        ages = [now - at for at in self._untold.values()]
-        took = Took(list(self._untold), ages, "")
-        self._untold = {}
+        ages = [now - at for at in self._pending.values()]
+        took = Took(list(self._pending), ages, "")
+        self._pending = {}
         for link in self._links.list_peers():
-            self._out(Send(link.stream, took))
+            self._emit(Send(link.stream, took))
 
     def announce_all(self, stream: int, jobs: Iterable[Job], now: float) -> None:
-        """Tell a new stream of all jobs."""
+        """Announce all jobs of this entry on a new stream."""
         ages = {job.spec.job: now - job.arrival for job in jobs}
-        self._out(Send(stream, Took(list(ages), list(ages.values()), "")))
+        self._emit(Send(stream, Took(list(ages), list(ages.values()), "")))
 
     def announce_previous_owner(
         self, stream: int, name: str, known: Ownership, now: float
     ) -> None:
-        """Tell an entry that took a job who had it before: it may not know."""
-        self._out(Send(stream, Took([name], [now - known.at], known.incarnation)))
+        """Announce a job's previous owner to its new one, which may not know it."""
+        self._emit(Send(stream, Took([name], [now - known.at], known.incarnation)))
 
     def announce_grants(
         self, stream: int, granted: dict[str, dict[str, float]], now: float
     ) -> None:
-        """Tell an entry which one may start each job that this one decided about."""
+        """Announce to which entries this one, as the home, granted jobs.
+
+        :param granted: when each job was granted, by owner and job.
+        """
         for owner, jobs in granted.items():
             ages = [now - at for at in jobs.values()]
-            self._out(Send(stream, Took(list(jobs), ages, owner)))
+            self._emit(Send(stream, Took(list(jobs), ages, owner)))
 
     def announce_unreachable_owners(
-        self, stream: int, takings: JobOwnership, now: float
+        self, stream: int, ownership: JobOwnership, now: float
     ) -> None:
-        """Tell a new stream of the jobs of entries that may be gone.
+        """Announce, on a new stream, the jobs of entries that may be gone.
 
-        One that is gone behind a silent stream, and back at its address, tells nobody
-        of them: its new process doesn't know.
+        An entry that was restarted at its address before its old stream timed out
+        doesn't announce them itself, as its new process doesn't know them.
         """
-        for owner, taken in takings.list_by_owner().items():
+        for owner, owned in ownership.list_by_owner().items():
             link = self._links.find(owner)
             if link is None or not self._links.is_fresh(link, now):
-                ages = [now - taking.at for taking in taken.values()]
-                self._out(Send(stream, Took(list(taken), ages, owner)))
+                ages = [now - owned_job.at for owned_job in owned.values()]
+                self._emit(Send(stream, Took(list(owned), ages, owner)))
--- a/src/godwitbank/_internal/core/runs/reachability.py
+++ b/src/godwitbank/_internal/core/runs/reachability.py
@@ -1,4 +1,7 @@
-"""What becomes of an entry that another one has lost: questions, what is passed on."""
+"""Reachability of lost entries through other entries.
+
+An entry that loses a peer probes it through others, and answers the probes of others.
+"""
 
 from collections.abc import Callable
 from random import Random
@@ -12,103 +15,104 @@
 from godwitbank._internal.models.run_messages import Locate, Located, Took, Yield
 
 UNREACHED_PREFIX = "unreached "
-"""Prefix of what an entry is known by that was never reached: it has no incarnation."""
+"""Prefix of the name of an entry that was never reached: its incarnation is unknown."""
 
 
 class PeerReachability:
-    """Asks others for lost entries, and answers them."""
+    """Probes lost peers through other entries, and answers such probes of others."""
 
-    def __init__(self, links: Links, takings: JobOwnership, rng: Random) -> None:
+    def __init__(self, links: Links, ownership: JobOwnership, rng: Random) -> None:
         self._links = links
-        self._takings = takings
-        self._witnesses = IndirectProbes(rng)
-        self._testimony = ProbeRequests()
+        self._ownership = ownership
+        self._probes = IndirectProbes(rng)
+        self._probe_requests = ProbeRequests()
         self._lost: dict[str, str] = {}
-        self._told_by: dict[str, int] = {}
-        self._lived: dict[str, float] = {}
+        self._relays: dict[str, int] = {}
+        self._last_alive_at: dict[str, float] = {}
         self._now = 0.0
-        self._out: Callable[[RunAction], None] = lambda action: None
+        self._emit: Callable[[RunAction], None] = lambda action: None
 
-    def begin_event(self, now: float, out: Callable[[RunAction], None]) -> None:
-        """Prepare for one event."""
+    def begin_event(self, now: float, emit: Callable[[RunAction], None]) -> None:
+        """Set the time, and where actions go, for one event."""
         self._now = now
-        self._out = out
+        self._emit = emit
 
     def _send(self, stream: int, message: Message) -> None:
-        self._out(Send(stream, message))
+        self._emit(Send(stream, message))
 
-    # As the one that has lost an entry
+    # Probes of this entry
 
     def probe(self, address: str, owner: str) -> None:
-        """Ask others for an entry.
+        """Ask other entries whether they reach a lost one.
 
-        :param owner: what it is known by among those that took jobs.
+        :param owner: the name under which its jobs are recorded: its incarnation, or
+            ``UNREACHED_PREFIX`` with its address.
         """
         self._lost[address] = owner
         peers = [
             link for link in self._links.list_peers() if link.hello.address != address
         ]
-        for link in self._witnesses.start(address, peers):
+        for link in self._probes.start(address, peers):
             self._send(link.stream, Locate(address))
 
     def handle_located(self, link: Link, message: Located) -> None:
-        """Take an answer."""
+        """Process an answer to a probe."""
         address = message.address
         if message.reachable:
-            self._told_by[message.incarnation] = link.stream
-        spoke_for = self._witnesses.is_reachable_through(link.stream, address)
-        gone = self._witnesses.handle_answer(link.stream, address, message.reachable)
+            self._relays[message.incarnation] = link.stream
+        was_relay = self._probes.is_reachable_through(link.stream, address)
+        gone = self._probes.handle_answer(link.stream, address, message.reachable)
         owner = self._lost.get(address)
         if owner is None:
             return
         if message.reachable:
-            self._hear_reached(owner, message)
-        elif not self._witnesses.is_reachable(address):
-            self._hear_unreached(owner, message)
-            if spoke_for:
-                self._ask_again(address)
+            self._handle_reachable(owner, message)
+        elif not self._probes.is_reachable(address):
+            self._handle_unreachable(owner, message)
+            if was_relay:
+                self._probe_again(address)
         if gone or message.reachable:
-            self._out(Note("peer_located", "", {"address": address, "gone": gone}))
+            self._emit(Note("peer_located", "", {"address": address, "gone": gone}))
         if gone:
-            self._takings.confirm_lost(owner)
+            self._ownership.confirm_lost(owner)
 
-    def _hear_reached(self, owner: str, message: Located) -> None:
+    def _handle_reachable(self, owner: str, message: Located) -> None:
         if owner in (message.incarnation, UNREACHED_PREFIX + message.address):
-            self._takings.mark_indirectly_reachable(owner, self._now)
+            self._ownership.mark_indirectly_reachable(owner, self._now)
             return
-        # Another process answers at its address; the one that was lost is gone.
-        self._takings.confirm_lost(owner)
+        # A new process listens at that address; the lost one is gone.
+        self._ownership.confirm_lost(owner)
 
-    def _hear_unreached(self, owner: str, message: Located) -> None:
-        self._told_by.pop(owner, None)
+    def _handle_unreachable(self, owner: str, message: Located) -> None:
+        self._relays.pop(owner, None)
         known = message.incarnation in ("", owner) or owner.startswith(UNREACHED_PREFIX)
         if known and message.age >= 0:
-            self._takings.mark_lost_again(owner, self._now - message.age)
-            self._takings.update_last_alive(owner, self._now - message.age)
+            self._ownership.mark_lost_again(owner, self._now - message.age)
+            self._ownership.update_last_alive(owner, self._now - message.age)
 
-    def _ask_again(self, address: str) -> None:
+    def _probe_again(self, address: str) -> None:
         owner = self._lost[address]
-        self._takings.mark_lost_again(owner, self._now)
+        self._ownership.mark_lost_again(owner, self._now)
         self.probe(address, owner)
 
     def relay_yield(self, job: str, owner: str) -> bool:
-        """Ask an entry out of reach to stop a job, by one that reaches it.
+        """Ask an unreachable entry to stop a job, through another one that reaches it.
 
-        :return: whether there is one.
+        :return: whether any entry is known to reach it.
         """
-        witness = self._told_by.get(owner)
-        if witness is None:
+        relay = self._relays.get(owner)
+        if relay is None:
             return False
-        self._send(witness, Yield(job, owner))
+        self._send(relay, Yield(job, owner))
         return True
 
     def is_indirectly_reachable(self, owner: str) -> bool:
-        """Tell whether an entry out of reach is reached by another one."""
-        return owner in self._told_by
+        """Tell whether another entry reaches one that is unreachable from here."""
+        return owner in self._relays
 
     def list_relay_streams(self) -> dict[str, int]:
-        """List streams to entries that reach lost ones, by these ones' addresses."""
-        reached = self._witnesses.list_reachable()
+        """List streams to entries that reach lost ones, by the lost ones' addresses."""
+        reached = self._probes.list_reachable()
         return {
             address: stream
             for address, stream in reached.items()
@@ -116,32 +120,37 @@
         }
 
     def mark_connected(self, link: Link) -> str:
-        """Note that an entry is reached; returns what it was known by while lost."""
-        self._witnesses.forget(link.hello.address)
-        self._told_by.pop(link.hello.incarnation, None)
+        """Record that an entry is connected.
+
+        :return: the name of the lost entry that it turned out to be, if that was never
+            reached before; else an empty string.
+        """
+        self._probes.forget(link.hello.address)
+        self._relays.pop(link.hello.incarnation, None)
         lost = self._lost.pop(link.hello.address, "")
-        # An earlier process at its address stays lost: its runs may live on.
+        # An earlier process at that address stays lost, as its runs may be alive.
         return lost if lost.startswith(UNREACHED_PREFIX) else ""
 
     def drop_stream(self, stream: int) -> None:
-        """Note that a stream to an entry ended; others are asked in its place."""
-        self._testimony.drop_stream(stream)
-        self._told_by = {
-            owner: each for owner, each in self._told_by.items() if each != stream
+        """Drop a closed stream to an entry, and probe through others in its place."""
+        self._probe_requests.drop_stream(stream)
+        self._relays = {
+            owner: each for owner, each in self._relays.items() if each != stream
         }
-        for address in self._witnesses.drop_stream(stream):
+        for address in self._probes.drop_stream(stream):
             if address in self._lost:
-                self._ask_again(address)
+                self._probe_again(address)
 
-    # As the one that is asked
+    # Probes of other entries
 
     def handle_locate(self, link: Link, message: Locate) -> None:
-        """Note a question, and answer it at once if the entry is not reached.
+        """Record a probe, and answer it at once if the probed entry is unreachable.
 
-        One that has been silent for as long as its agents wait is as good as lost;
-        else all new jobs would wait until this entry has given it up, too.
+        A peer also counts as unreachable if nothing was received from it for as long as
+        its agents wait before they stop its runs. Otherwise, all new jobs at the
+        requester would wait until the stream to the peer has timed out here, too.
         """
-        self._testimony.add(message.address, link.stream, self._now)
+        self._probe_requests.add(message.address, link.stream, self._now)
         heard_at = [
             each.heard_at
             for each in self._links.list_peers()
@@ -154,32 +163,36 @@
     def _measure_age(self, address: str, heard_at: list[float]) -> float:
         if heard_at:
             return self._now - heard_at[0]
-        lived_at = self._lived.get(address)
-        return -1.0 if lived_at is None else self._now - lived_at
+        last_alive_at = self._last_alive_at.get(address)
+        return -1.0 if last_alive_at is None else self._now - last_alive_at
 
     def handle_peer_alive(self, link: Link) -> None:
-        """Note that an entry lives; tell those that asked, and what it has taken."""
+        """React to a frame from a peer: tell those that probe it, and its jobs."""
         owner = link.hello.incarnation
-        for stream in self._testimony.handle_alive(link.hello.address):
+        for stream in self._probe_requests.handle_alive(link.hello.address):
             self._send(stream, Located(link.hello.address, True, owner, 0.0))
-            taken = self._takings.list_by_owner().get(owner, {})
-            ages = [self._now - taking.at for taking in taken.values()]
-            self._send(stream, Took(list(taken), ages, owner))
+            owned = self._ownership.list_by_owner().get(owner, {})
+            ages = [self._now - owned_job.at for owned_job in owned.values()]
+            self._send(stream, Took(list(owned), ages, owner))
 
     def forward_ownership(self, link: Link, message: Took) -> None:
-        """Tell those that can't reach an entry what it has taken."""
+        """Forward a peer's announcement to the entries that can't reach it."""
         owner = link.hello.incarnation
-        followers = self._testimony.list_subscribers(link.hello.address, self._now)
-        for stream in followers:
+        subscribers = self._probe_requests.list_subscribers(
+            link.hello.address, self._now
+        )
+        for stream in subscribers:
             self._send(stream, Took(message.jobs, message.ages, owner))
 
-    def announce_lost(self, link: Link, lived_at: float) -> None:
-        """Tell those that asked for an entry that it is lost here, too.
+    def announce_lost(self, link: Link, last_alive_at: float) -> None:
+        """Tell the entries that probe a peer that it is lost here, too.
 
-        :param lived_at: by when it proved its life for the last time.
+        :param last_alive_at: the latest time at which it may have been alive.
         """
         address = link.hello.address
-        self._lived[address] = lived_at
-        lost = Located(address, False, link.hello.incarnation, self._now - lived_at)
-        for stream in self._testimony.handle_loss(address, self._now):
+        self._last_alive_at[address] = last_alive_at
+        lost = Located(
+            address, False, link.hello.incarnation, self._now - last_alive_at
+        )
+        for stream in self._probe_requests.handle_loss(address, self._now):
             self._send(stream, lost)
--- a/src/godwitbank/_internal/core/runs/readiness.py
+++ b/src/godwitbank/_internal/core/runs/readiness.py
@@ -1,4 +1,4 @@
-"""Whether an entry knows what other entries have taken."""
+"""Whether an entry knows which jobs other entries own."""
 
 from godwitbank._internal.core.runs.lease import LAPSE_SECONDS
 from godwitbank._internal.core.runs.links import Links
@@ -12,88 +12,89 @@
 )
 
 SYNC_TIMEOUT_SECONDS = LAPSE_SECONDS
-"""Seconds for which an entry that has started, or stood still, waits for the others it
-knows. What those have ordered that it doesn't hear of by then is over."""
+"""Seconds for which an entry waits for the announcements of the others that it knows,
+after its start or a pause of its process. Runs of others that it doesn't learn about by
+then have expired."""
 
 
 class Readiness:
-    """What an entry has heard of others since it started, or stood still.
+    """Announcements that an entry has received since its start or its last pause.
 
-    :ivar active_since: when that was.
+    :ivar active_since: when its process started, or resumed after a pause, in seconds.
     """
 
     def __init__(
         self,
         links: Links,
-        takings: JobOwnership,
-        whereabouts: PeerReachability,
+        ownership: JobOwnership,
+        reachability: PeerReachability,
         now: float,
     ) -> None:
         self._links = links
-        self._takings = takings
-        self._whereabouts = whereabouts
-        self._informed = False
-        self._heard: set[str] = set()
+        self._ownership = ownership
+        self._reachability = reachability
+        self._synced = False
+        self._announced: set[str] = set()
         self._now = now
         self.active_since = now
 
     def begin_event(self, now: float) -> None:
-        """Prepare for one event."""
+        """Set the time for one event."""
         self._now = now
 
     @property
     def synced(self) -> bool:
-        """Whether it is known what other entries have taken.
+        """Whether this entry knows which jobs other entries own.
 
-        Those that can't be reached for ``SYNC_TIMEOUT_SECONDS`` are gone for their
-        agents, too, which have stopped their runs by then.
+        Entries that can't be reached for ``SYNC_TIMEOUT_SECONDS`` don't delay this any
+        longer: if they are gone, their agents have stopped their runs by then.
         """
-        if not self._informed:
-            linked = {
+        if not self._synced:
+            connected = {
                 link.hello.address
                 for link in self._links.list_peers()
-                if link.hello.incarnation in self._heard
+                if link.hello.incarnation in self._announced
             }
             known = set(self._links.addresses.list_others())
-            linked_all = bool(known) and known <= linked
-            self._informed = (
-                linked_all or self._now - self.active_since > SYNC_TIMEOUT_SECONDS
+            all_connected = bool(known) and known <= connected
+            self._synced = (
+                all_connected or self._now - self.active_since > SYNC_TIMEOUT_SECONDS
             )
-            if self._informed and known - linked:
-                # They may be alive and cut off from here alone.
-                self._lose_unreached(sorted(known - linked))
-        return self._informed
+            if self._synced and known - connected:
+                # They may be alive but cut off from this entry alone.
+                self._mark_unreached(sorted(known - connected))
+        return self._synced
 
-    def _lose_unreached(self, addresses: list[str]) -> None:
+    def _mark_unreached(self, addresses: list[str]) -> None:
         for address in addresses:
-            unknown = UNREACHED_PREFIX + address
-            self._takings.mark_lost(unknown, address, self.active_since)
-            self._whereabouts.probe(address, unknown)
+            placeholder = UNREACHED_PREFIX + address
+            self._ownership.mark_lost(placeholder, address, self.active_since)
+            self._reachability.probe(address, placeholder)
 
     @property
     def sync_deadline(self) -> float:
-        """When it is known at the latest what other entries have taken."""
+        """The latest time at which the jobs of other entries are known."""
         return self.active_since + SYNC_TIMEOUT_SECONDS
 
     @property
     def is_recently_active(self) -> bool:
-        """Whether others may have lost entries that were never met here."""
+        """Whether others may just have lost entries that were never connected here."""
         return self._now - self.active_since < OWNERSHIP_RETENTION_SECONDS
 
     def record_announcement(self, incarnation: str) -> None:
-        """Note that another entry has told what it has taken."""
-        self._heard.add(incarnation)
+        """Record that another entry has announced its jobs."""
+        self._announced.add(incarnation)
 
     def mark_lost(self, incarnation: str) -> None:
-        """Note that another entry's last stream ended."""
-        self._heard.discard(incarnation)
+        """Record that the last stream to another entry ended."""
+        self._announced.discard(incarnation)
 
     def resume_after_pause(self) -> None:
-        """Begin anew after this entry stood still: others may have taken its jobs.
+        """Wait for the announcements of others again, as they may own its jobs by now.
 
-        An entry that went on with its jobs at once started tasks that another one had
-        taken over, before it had a stream to that one again.
+        An entry that continued with its jobs right after a pause would start tasks that
+        another entry has taken over, before it is connected to that entry again.
         """
-        self._informed = False
+        self._synced = False
         self.active_since = self._now
-        self._heard.clear()
+        self._announced.clear()
--- a/src/godwitbank/_internal/core/runs/remote_callers.py
+++ b/src/godwitbank/_internal/core/runs/remote_callers.py
@@ -1,7 +1,7 @@
-"""Jobs that an entry serves for callers of other entries.
+"""Callers of other entries whose jobs this entry serves.
 
-The rest of the core knows callers by number. Those of other entries have numbers below
-zero here; what is answered to them goes back on the stream that their job came by.
+The rest of the core knows callers by number. Callers of other entries have negative
+numbers here; answers to them are sent back on the stream on which their job arrived.
 """
 
 import itertools
@@ -21,44 +21,44 @@
 
 
 class Origin(NamedTuple):
-    """The stream a job came by, and the job."""
+    """A job, and the stream on which another entry forwarded it."""
 
     stream: int
     job: str
 
 
 class RemoteCallers:
-    """Callers of other entries, by the numbers they have here."""
+    """Callers of other entries, by their numbers at this entry."""
 
     def __init__(self) -> None:
         self._origins: dict[int, Origin] = {}
         self._numbers = itertools.count(1)
 
     def accept_forward(self, stream: int, message: Forward) -> JobSubmitted:
-        """Note a job's origin, and decode it."""
+        """Decode a forwarded job, and register its caller."""
         caller = self.add_caller(stream, message.job)
         steps = tuple(_decode_step(fields) for fields in message.steps)
         spec = JobSpec(message.job, message.queue, message.payload, steps)
         return JobSubmitted(caller, spec, message.patience)
 
     def add_caller(self, stream: int, job: str) -> int:
-        """Give a number to a caller of another entry."""
+        """Register a caller of another entry, and return its number."""
         caller = -next(self._numbers)
         self._origins[caller] = Origin(stream, job)
         return caller
 
     def is_remote(self, caller: int) -> bool:
-        """Tell whether a caller came to another entry."""
+        """Tell whether a caller is connected to another entry."""
         return caller in self._origins
 
     def withdraw(self, stream: int, job: str) -> list[CallerGone]:
-        """List the callers of a job that another entry withdraws."""
+        """Remove the callers of a job that another entry withdraws."""
         origin = Origin(stream, job)
         gone = [caller for caller, each in self._origins.items() if each == origin]
         return self._forget(gone)
 
     def drop_stream(self, stream: int) -> list[CallerGone]:
-        """List the callers that can't be answered any more."""
+        """Remove the callers that a closed stream makes impossible to answer."""
         gone = [
             caller for caller, each in self._origins.items() if each.stream == stream
         ]
@@ -70,7 +70,7 @@
         return [CallerGone(caller) for caller in callers]
 
     def route_answers(self, actions: Iterable[RunAction]) -> list[RunAction]:
-        """Turn answers to callers of other entries into messages."""
+        """Replace answers to callers of other entries by messages to these entries."""
         routed: list[RunAction] = []
         for action in actions:
             if not isinstance(action, Answer) or action.caller > 0:
--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -241,7 +241,7 @@
     Break(
         "leases are granted however long ago entries lived",
         f"{LEASED}/liveness.py",
-        "        return min(proofs, default=math.inf) + LIFE_SECONDS",
+        "        return min(last_alive, default=math.inf) + LIFE_SECONDS",
         "        return math.inf",
         f"{RUNS}/test_takeovers.py::"
         "test_runs_end_with_their_entry_though_their_agent_dies_before_it_stops_them",
@@ -340,7 +340,7 @@
     Break(
         "nobody is told what was taken",
         f"{LEASED}/ownership_announcements.py",
-        '            self._out(Send(link.stream, Took([name], [0.0], "")))',
+        '            self._emit(Send(link.stream, Took([name], [0.0], "")))',
         "            pass",
         f"{RUNS}/test_meeting.py::"
         "test_a_job_whose_home_is_lost_is_known_by_what_its_entry_has_told",
