--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -252,7 +252,7 @@
         "            self._wake()",
         "            pass",
         f"{RUNS}/test_takeovers.py::"
-        "test_an_entry_that_wakes_up_starts_nothing_before_it_has_heard_others",
+        "test_a_resumed_entry_starts_nothing_before_others_announced_their_jobs",
     ),
     Break(
         "agents without an answer run nothing",
@@ -260,7 +260,7 @@
         "        return self.last_alive_at + LAPSE_SECONDS",
         "        return self.last_alive_at",
         f"{RUNS}/test_takeovers.py::"
-        "test_a_job_of_a_lost_entry_waits_though_nobody_can_tell_of_it",
+        "test_a_job_of_a_lost_entry_waits_though_no_process_left_knows_it",
     ),
     Break(
         "no home is asked",
@@ -276,7 +276,7 @@
         "        if claimant is None or now - claimant.at > SIMULTANEOUS_SECONDS:",
         "        if True:",
         f"{RUNS}/test_two_entries.py::"
-        "test_agents_that_hear_claims_in_another_order_let_one_entry_start_the_job",
+        "test_agents_that_get_claims_in_another_order_let_one_entry_start_the_job",
     ),
     Break(
         "a home that has just joined decides at once",
@@ -284,15 +284,14 @@
         "        if route != LOCAL_ROUTE or self._is_synced():",
         "        if True:",
         f"{RUNS}/test_two_entries.py::"
-        "test_a_home_that_has_just_joined_asks_the_one_before_it",
+        "test_a_home_that_has_just_joined_asks_the_previous_home",
     ),
     Break(
         "a home that ends tells nobody what it decided",
         f"{LEASED}/entry.py",
         "            self.handover.leave()\n",
         "",
-        f"{RUNS}/test_two_entries.py::"
-        "test_a_home_that_ends_tells_others_what_it_let_start",
+        f"{RUNS}/test_two_entries.py::test_a_home_that_stops_announces_its_grants",
     ),
     Break(
         "jobs that wait count as taken",
--- a/tests/core/runs/test_homes.py
+++ b/tests/core/runs/test_homes.py
@@ -1,4 +1,4 @@
-"""Who decides on a job, and what it remembers of that."""
+"""The home of a job, and the grants that it records."""
 
 from godwitbank._internal.core.runs.homes import (
     GRANT_RETENTION_SECONDS,
@@ -17,15 +17,18 @@
     assert min(counts) >= len(JOBS) / len(ENTRIES) / 2
 
 
-def test_an_entry_that_goes_moves_only_its_own_jobs() -> None:
-    left = ENTRIES[1:]
+def test_a_removed_entry_moves_only_its_own_jobs() -> None:
+    remaining = ENTRIES[1:]
     for job in JOBS:
         before = choose_home(job, ENTRIES)
-        assert choose_home(job, left) == before or before == ENTRIES[0]
+        assert choose_home(job, remaining) == before or before == ENTRIES[0]
 
 
 def test_a_late_release_does_not_undo_a_newer_grant() -> None:
-    """Guards against a second entry that starts a job which the first asked anew."""
+    """Guards against a second start of a job that its owner requested again.
+
+    The release that belongs to the owner's earlier request arrives after its next one.
+    """
     grants = Grants()
     grants.add("j1", "entry-0", 7, 100.0)
     grants.remove("j1", "entry-0", 6, 100.1)
@@ -38,14 +41,14 @@
 
 
 def test_a_grant_whose_release_was_lost_can_be_undone() -> None:
-    """Guards against callers who are sent to an entry that hasn't the job any more."""
+    """Guards against callers that are sent to an entry which no longer has the job."""
     grants = Grants()
     grants.add("j1", "entry-0", 7, 100.0)
     grants.remove("j1", "entry-0", 0, 100.0 + SILENCE + 0.1)
     assert grants.find_owner("j1") == ""
 
 
-def test_a_job_taken_over_unasked_is_released_without_its_number() -> None:
+def test_a_job_taken_over_without_a_request_is_released_without_a_number() -> None:
     grants = Grants()
     grants.add("j1", "entry-0", 7, 100.0)
     grants.transfer("j1", "entry-1", 100.1)
@@ -55,7 +58,7 @@
     assert grants.find_owner("j1") == ""
 
 
-def test_old_grants_are_forgotten() -> None:
+def test_old_grants_are_dropped() -> None:
     grants = Grants()
     grants.add("j1", "entry-0", 1, 100.0)
     grants.add("j2", "entry-0", 2, 101.0 + GRANT_RETENTION_SECONDS)
--- a/tests/core/runs/test_liveness.py
+++ b/tests/core/runs/test_liveness.py
@@ -1,4 +1,4 @@
-"""Leases that are no longer than entries are known to have lived."""
+"""Leases are bounded by the last time at which entries were known to be alive."""
 
 import math
 
@@ -15,22 +15,22 @@
 NOW = 100.0
 
 
-def test_the_oldest_proof_counts() -> None:
-    lives = EntryLiveness()
-    lives.record_alive("entry-0", NOW)
-    lives.record_alive("entry-1", NOW + 0.3)
-    assert lives.find_lease_end(["entry-0", "entry-1"]) == NOW + LIFE_SECONDS
-    assert lives.find_lease_end(["entry-1"]) == NOW + 0.3 + LIFE_SECONDS
+def test_the_entry_heard_longest_ago_bounds_the_lease() -> None:
+    liveness = EntryLiveness()
+    liveness.record_alive("entry-0", NOW)
+    liveness.record_alive("entry-1", NOW + 0.3)
+    assert liveness.find_lease_end(["entry-0", "entry-1"]) == NOW + LIFE_SECONDS
+    assert liveness.find_lease_end(["entry-1"]) == NOW + 0.3 + LIFE_SECONDS
 
 
-def test_a_proof_that_was_held_up_takes_nothing_back() -> None:
-    lives = EntryLiveness()
-    lives.record_alive("entry-0", NOW)
-    lives.record_alive("entry-0", NOW - 0.5)
-    assert lives.find_lease_end(["entry-0"]) == NOW + LIFE_SECONDS
+def test_a_delayed_heartbeat_does_not_move_the_time_back() -> None:
+    liveness = EntryLiveness()
+    liveness.record_alive("entry-0", NOW)
+    liveness.record_alive("entry-0", NOW - 0.5)
+    assert liveness.find_lease_end(["entry-0"]) == NOW + LIFE_SECONDS
 
 
-def test_an_entry_that_was_never_heard_gets_no_lease() -> None:
+def test_an_entry_without_any_heartbeat_gets_no_lease() -> None:
     assert EntryLiveness().find_lease_end(["entry-0"]) == -math.inf
 
 
@@ -38,18 +38,18 @@
     assert EntryLiveness().find_lease_end([]) == math.inf
 
 
-def test_proofs_on_which_nothing_depends_are_forgotten() -> None:
-    lives = EntryLiveness()
-    lives.record_alive("entry-0", NOW)
-    lives.retain([])
-    assert lives.find_lease_end(["entry-0"]) == -math.inf
+def test_entries_without_runs_are_forgotten() -> None:
+    liveness = EntryLiveness()
+    liveness.record_alive("entry-0", NOW)
+    liveness.retain([])
+    assert liveness.find_lease_end(["entry-0"]) == -math.inf
 
 
 @pytest.mark.parametrize("rate", [1 - CLOCK_SKEW, 1.0])
 @pytest.mark.parametrize("age", [0.0, 0.1, 0.5])
 def test_a_lease_ends_in_time_on_a_slow_clock(rate: float, age: float) -> None:
-    # Symptom: runs outlive their entry by more than is granted. Cause: the endpoint
-    # counts the lease on its own clock, which may be 2 % slow.
+    # Guards against runs that outlive their lease because the endpoint measures it on
+    # its own clock, which may be 2 % slow.
     clock = EndpointClock()
     clock.hear(5000, NOW)
     until = clock.grant(NOW + age, NOW + 0.8)
--- a/tests/core/runs/test_remote_callers.py
+++ b/tests/core/runs/test_remote_callers.py
@@ -1,4 +1,4 @@
-"""Jobs of other entries' callers, as they come over a stream."""
+"""Jobs that other entries forward for their callers."""
 
 from godwitbank._internal.core.events import Send
 from godwitbank._internal.core.runs.events import Answer
@@ -17,33 +17,33 @@
         StepSpec(1, Resources(100, 8, 1), 1.5, (0,), "a", "r1-3", 2, True),
     ),
 )
-LENGTH = 4
-"""Bytes of the length before a frame's body."""
+LENGTH_PREFIX_BYTES = 4
+"""Size of the length prefix of a frame."""
 
 
-def test_a_job_is_the_same_after_its_way_over_a_stream() -> None:
+def test_a_job_is_unchanged_after_it_was_forwarded() -> None:
     steps = [list(step) for step in SPEC.steps]
     sent = Forward(SPEC.job, SPEC.queue, SPEC.payload, steps, 1.5, False)
-    received = decode(encode(sent)[LENGTH:])
+    received = decode(encode(sent)[LENGTH_PREFIX_BYTES:])
     assert isinstance(received, Forward)
     event = RemoteCallers().accept_forward(7, received)
     assert (event.spec, event.patience) == (SPEC, 1.5)
     assert event.caller < 0
 
 
-def test_answers_go_back_on_the_stream_that_the_job_came_by() -> None:
-    adoption = RemoteCallers()
+def test_answers_go_back_on_the_stream_on_which_the_job_arrived() -> None:
+    remote_callers = RemoteCallers()
     steps = [list(step) for step in SPEC.steps]
-    event = adoption.accept_forward(
+    event = remote_callers.accept_forward(
         7, Forward(SPEC.job, SPEC.queue, "", steps, 1.5, False)
     )
     result = JobResult(SPEC.job, JobEnd.FAILED, "attempts", True)
     own = Answer(1, result)
-    (kept, sent) = adoption.route_answers([own, Answer(event.caller, result)])
+    (kept, sent) = remote_callers.route_answers([own, Answer(event.caller, result)])
     assert kept is own
     assert isinstance(sent, Send)
     assert (sent.stream, sent.message) == (
         7,
         Forwarded(SPEC.job, "failed", "attempts", True, -1.0),
     )
-    assert adoption.route_answers([Answer(event.caller, result)]) == []
+    assert remote_callers.route_answers([Answer(event.caller, result)]) == []
--- a/tests/core/runs/test_takeovers.py
+++ b/tests/core/runs/test_takeovers.py
@@ -1,4 +1,4 @@
-"""A job whose caller comes to another entry while its first runs can't be reached.
+"""A job that is submitted at another entry while its first runs are unreachable.
 
 ``RunsWorld`` checks after every step that no task runs twice at once.
 """
@@ -13,18 +13,18 @@
 from tests.lib.runs_world import RunsWorld, make_job
 
 RESUBMIT_SECONDS = 1.3
-"""Seconds after a broken connection at which callers submit again."""
+"""Seconds from a broken connection to the caller's next submission."""
 
 JOB = make_job("j1", width=16, seconds=1.8)
 
 
 def run_until(world: RunsWorld, at: float) -> None:
-    """Let time pass up to a moment."""
+    """Run the world up to a time, in seconds."""
     world.run(at - world.now)
 
 
 def kill_and_restart_entries(world: RunsWorld, *entries: str) -> None:
-    """Kill entries, and start them again 0.2 s later with no memory of anything."""
+    """Kill entries, and start new processes in their place 0.2 s later."""
     for entry in entries:
         world.kill(entry)
         world.after(0.2, lambda entry=entry: world.add_entry(entry))
@@ -34,15 +34,13 @@
 def test_runs_end_with_their_entry_though_their_agent_dies_before_it_stops_them(
     agent_dies: float,
 ) -> None:
-    # Symptom: a task runs at two endpoints. Sequence: an agent is cut off from its
-    # entry; the entry is killed, which the agent doesn't see; it goes on renewing the
-    # lease, and is killed itself before the silence tells it. The entries that knew of
-    # the job are killed, too. Its caller comes again after 1.3 s; nobody knows of the
-    # job, and it starts while the first runs live on under the dead agent's lease.
-    # Cause: that lease was granted for a second from each renewal, however long ago the
-    # entry had lived: runs outlived it by the silence and the lease, 1.7 s. The log
-    # shows the agent's last renewals after the entry's end, and its endpoint's run
-    # listed beside the new one.
+    # Guards against a task at two endpoints after a lease that outlives its entry. An
+    # agent that is cut off from its killed entry renews the lease until the stream
+    # times out, and is killed before that. If a renewal grants a full second however
+    # long ago the entry was alive, runs outlive the entry by the timeout and the lease,
+    # 1.7 s. The caller submits again after 1.3 s, when no process knows the job. The
+    # log then shows renewals after the entry's end and the old run listed beside the
+    # new one.
     world = make_world(entries=3, agents=4)
     world.submit("entry-0", JOB)
     world.run(0.1)
@@ -65,13 +63,14 @@
 
 
 @pytest.mark.parametrize("agent_dies", [0.3, 0.5, 0.6, 0.68])
-def test_runs_end_with_their_entry_where_agents_meet_some_entries_only(
+def test_runs_end_with_their_entry_in_a_partial_mesh(
     agent_dies: float,
 ) -> None:
-    # Symptom, cause: as above. Sequence: an entry loses its power; an agent that runs
-    # its job is killed just before it would have noticed; all that knew of the job are
-    # gone as well. The caller's connection broke unnoticed a moment before; its new
-    # entry asks others, for whom the first one is gone, and starts the job at once.
+    # Guards against the same failure where each agent has streams to two of five
+    # entries. An entry loses power, an agent that runs its job is killed just before it
+    # would notice, and the other entries are restarted. The caller's connection broke
+    # shortly before. Its new entry probes the first one through others, learns that it
+    # is gone, and starts the job at once.
     world = RunsWorld(entries_per_agent=2)
     for number in range(5):
         world.add_entry(f"entry-{number}")
@@ -96,15 +95,14 @@
 
 @pytest.mark.parametrize("darkened_after", [0.0, 0.004, 0.09])
 @pytest.mark.parametrize("asked_after", [0.1, 0.2, 0.4, 0.6])
-def test_an_agent_out_of_reach_is_not_taken_for_one_that_runs_nothing(
+def test_an_unreachable_agent_may_still_run_the_job(
     darkened_after: float, asked_after: float
 ) -> None:
-    # Symptom: a task runs at two endpoints. Sequence: an entry is suspended; another
-    # takes a job. The first is cut off from an agent that runs it, and wakes up; the
-    # other loses its power a moment later. The job's caller, whose connection broke
-    # unnoticed, comes to the entry that woke up. That one asks the agents that it
-    # reaches and starts the job. Cause: it went on as before, as if it knew what others
-    # had taken while it stood still. Its log has no `job_delayed` for the job, and
+    # Guards against a task at two endpoints because a resumed entry trusts what it knew
+    # before its pause. During the pause, another entry accepts a job, and the paused
+    # one is cut off from an agent that runs it. After the pause, the other entry loses
+    # power and the job is submitted at the resumed one, which claims it at the agents
+    # that it reaches and starts it. Its log then has no `job_delayed` for the job, and
     # `job_accepted` 50 ms after the submission.
     world = make_world(entries=3, agents=4)
     world.freeze("entry-2")
@@ -125,15 +123,15 @@
 
 @pytest.mark.parametrize("taken_after", [1.3, 1.6, 1.9])
 @pytest.mark.parametrize("wakes_after", [0.1, 0.4, 0.75])
-def test_an_entry_that_wakes_up_starts_nothing_before_it_has_heard_others(
+def test_a_resumed_entry_starts_nothing_before_others_announced_their_jobs(
     taken_after: float, wakes_after: float
 ) -> None:
-    # Symptom: a task runs at two endpoints. Sequence: an entry is suspended with a job
-    # in flight; the caller submits it to another one, which was started meanwhile and
-    # can't reach one of the agents. The first wakes up, and starts the job again at
-    # that agent before it has a stream to the other entry. Cause, as above: it went on
-    # with its jobs. Its log has `run_sent` for the tasks 58 ms after its waking, and
-    # `job_ended` with `submitted_elsewhere` 2 ms later.
+    # Guards against a task at two endpoints because a resumed entry continues with its
+    # jobs. While it is paused, its caller submits the job at another entry, which was
+    # just started and can't reach one of the agents. The resumed entry starts the job
+    # again at that agent before it is connected to the other entry. Its log then has
+    # `run_sent` for the tasks 58 ms after the pause, and `job_ended` with
+    # `submitted_elsewhere` 2 ms later.
     world = make_world(entries=2, agents=3)
     world.submit("entry-1", JOB)
     world.run(0.2)
@@ -152,16 +150,16 @@
 
 @pytest.mark.parametrize("darkened_after", [0.9, 1.1, 1.25])
 @pytest.mark.parametrize("met_before", [True, False])
-def test_an_agent_that_can_not_be_asked_counts_until_its_leases_are_over(
+def test_an_agent_that_can_not_be_asked_may_run_the_job_until_its_leases_end(
     darkened_after: float, met_before: bool
 ) -> None:
-    # Symptom: a task runs at two endpoints. Sequence: an entry is cut off from another
-    # one and from an agent. The other takes a job, runs it there, and loses its power;
-    # the caller, whose connection broke before, comes to the first one. That one asks
-    # the agents it reaches, for 50 ms, and starts the job. Cause: an agent that didn't
-    # answer, or that it had no stream to, counted as one that runs nothing; and the
-    # third entry, which knew of the job, wasn't asked, as agents were thought to be
-    # enough. The log has `job_accepted` 50 ms after the submission.
+    # Guards against a task at two endpoints if an agent that doesn't answer a claim, or
+    # has no stream to the claiming entry, counts as one without runs, and if a third
+    # entry that knows the job isn't probed because agents seem to be enough. An entry
+    # is cut off from another one and from an agent. The other entry runs a job there
+    # and loses power, and the job is submitted at the first one. That one claims it for
+    # 50 ms at the agents that it reaches, and starts it. The log then has
+    # `job_accepted` 50 ms after the submission.
     world = make_world(entries=3, agents=4)
     if not met_before:
         world.kill("entry-2")
@@ -183,10 +181,10 @@
 
 
 def test_an_agent_that_still_stops_runs_is_waited_for() -> None:
-    # Symptom: a task runs at two endpoints for some milliseconds. Sequence: two entries
-    # can't reach each other, and nobody else is there. One takes a job, whose caller
-    # comes to the other. An agent is told that the job goes to that one, and stops its
-    # runs, which takes longer than an agent is given to answer.
+    # Guards against a task at two endpoints for some milliseconds. Of two entries that
+    # can't reach each other, one runs a job that is then submitted at the other. An
+    # agent gets that entry's claim and stops the runs, which takes longer than agents
+    # have to answer a claim.
     world = make_world(entries=2, agents=3)
     world.cut_link("entry-0", "entry-1")
     world.run(1.0)
@@ -200,14 +198,14 @@
 
 
 @pytest.mark.parametrize("second_after", [0.2, 0.4, 0.6])
-def test_two_entries_that_wait_for_the_same_do_not_start_a_job_together(
+def test_two_entries_that_wait_for_old_runs_to_expire_do_not_both_start_a_job(
     second_after: float,
 ) -> None:
-    # Symptom: a task runs at two endpoints. Sequence: two entries that can't reach each
-    # other are started anew, and wait until nothing of before can run. A job comes to
-    # one and, as its caller's connection breaks, to the other. They reach each other,
-    # know all at once, and both start it. Cause: what waited was told to nobody. Both
-    # logs have `job_accepted` at the same millisecond.
+    # Guards against a task at two endpoints because held jobs aren't announced. Two
+    # restarted entries that can't reach each other wait until older runs have expired.
+    # A job is submitted at one and, after its caller's connection breaks, at the other.
+    # They connect, are synced at the same time, and both start it. Both logs then have
+    # `job_accepted` at the same millisecond.
     world = make_world(entries=2, agents=3)
     world.kill("entry-0")
     world.kill("entry-1")
@@ -226,13 +224,14 @@
 
 
 @pytest.mark.parametrize("agent_dies", [0.5, 0.6, 0.65])
-def test_a_job_of_a_lost_entry_waits_though_nobody_can_tell_of_it(
+def test_a_job_of_a_lost_entry_waits_though_no_process_left_knows_it(
     agent_dies: float,
 ) -> None:
-    # Symptom, cause: as for an agent that can't be asked. Sequence: two entries and two
-    # agents are cut off from each other; the other entry takes a job and loses its
-    # power, and an agent that runs the job is killed before it notices. Nobody is left
-    # who knew of the job when its caller comes to the first entry.
+    # Guards against a task at two endpoints if an agent that can't be asked counts as
+    # one without runs. An entry is cut off from another one and from two agents. The
+    # other entry starts a job and loses power, and an agent that runs the job is killed
+    # before it notices. No process is left that knows the job when it is submitted at
+    # the first entry.
     world = make_world(entries=2, agents=3)
     for agent in ("agent-0", "agent-1"):
         world.cut_link("entry-1", agent)
@@ -252,12 +251,12 @@
 
 
 @pytest.mark.parametrize("patience", [0.3, 0.7])
-def test_a_caller_is_answered_when_its_time_is_over_while_its_job_waits(
+def test_a_caller_is_answered_at_its_deadline_while_its_job_waits(
     patience: float,
 ) -> None:
-    # Symptom: a caller is told nothing until its own time limit. Sequence: an entry has
-    # just started and can't reach another one; a job with little time comes and waits.
-    # Cause: only jobs that had been taken had their time looked at.
+    # Guards against a caller that gets no answer until its own timeout. A job with a
+    # short deadline is held by an entry that was just started and can't reach another
+    # one; if deadlines are checked for started jobs only, the held one is missed.
     world = make_world(entries=2, agents=3)
     world.kill("entry-1")
     world.darken("entry-0")
@@ -272,12 +271,12 @@
     assert at < submitted_at + patience + 0.1
 
 
-def test_an_entry_started_later_knows_the_jobs_at_agents_that_it_does_not_meet() -> (
+def test_an_entry_started_later_knows_the_jobs_at_agents_without_a_stream_to_it() -> (
     None
 ):
-    # Symptom: a task runs twice. Sequence: a job is in flight at one entry; another is
-    # started, whose agents don't run it; the caller's connection breaks unnoticed and
-    # it goes to the new one. Cause: takings were told only when they happened.
+    # Guards against a task that runs twice if owners are announced only when a job
+    # starts. An entry is started later whose agents don't run the job, and the job's
+    # caller submits it again there.
     world = make_wide_world()
     world.submit("entry-0", JOB)
     world.run(0.1)
@@ -290,23 +289,23 @@
 
 
 @pytest.mark.parametrize("frozen_before", [0.02, 0.1, 0.3])
-def test_an_entry_that_did_not_know_who_had_a_job_is_told_by_others(
+def test_an_entry_that_did_not_know_the_owner_of_a_job_is_told_by_others(
     frozen_before: float,
 ) -> None:
-    # Symptom: a task runs at two endpoints. Sequence: an entry is started, and can't
-    # reach the one that has a job; a third knows of it. The caller submits the job to
-    # the new entry, which tells the third that it waits there. An agent that runs the
-    # job stands still. The new entry learns that the first one lives, and starts the
-    # job. Cause: the third entry remembered only who had the job last, and what it
-    # passed on of the first one lacked it; the new one's log has `peer_located` with
-    # `gone` false right before `job_accepted`.
+    # Guards against a task at two endpoints if an entry forgets a job's previous owner.
+    # A new entry can't reach the owner of a job; a third entry knows the owner. The job
+    # is submitted at the new entry, which announces it to the third. An agent that runs
+    # it is paused. The new entry learns that the first one is alive and starts the job,
+    # as the third entry kept only the last owner, and left the job out when it
+    # forwarded the jobs of the first one. The new entry's log then has `peer_located`
+    # with `gone` false right before `job_accepted`.
     world = make_world(entries=3, agents=4)
     world.submit("entry-0", make_job("j1", width=16, seconds=6.0))
     world.run(0.3)
     world.kill("entry-2")
     world.cut_link("entry-2", "entry-0")
     world.run(0.7)
-    # The third entry has no question of the first one to answer: it is started anew.
+    # A restarted third entry has no probe of the first one to answer.
     world.kill("entry-1")
     world.add_entry("entry-1")
     world.run(0.3)
@@ -324,13 +323,13 @@
 
 
 @pytest.mark.parametrize("asked_after", [0.0, 0.05, 0.1, 0.15, 0.2, 0.25])
-def test_an_agent_that_stands_still_is_waited_for_until_its_leases_are_over(
+def test_a_paused_agent_is_waited_for_until_its_leases_expire(
     asked_after: float,
 ) -> None:
-    # Symptom: a task runs at two endpoints. Sequence: two entries can't reach each
-    # other, and nobody else is there to ask. One takes a job, whose caller comes to the
-    # other; an agent that runs it stands still. Cause: the time after which a stream
-    # counts as dead was taken for the one after which its agent's runs are over.
+    # Guards against a task at two endpoints if the timeout of a stream is mistaken for
+    # the time after which the runs of its agent have expired. Of two entries that can't
+    # reach each other, one runs a job that is then submitted at the other, while an
+    # agent that runs it is paused. No third entry can be probed.
     world = make_world(entries=2, agents=3)
     world.cut_link("entry-0", "entry-1")
     world.run(1.0)
--- a/tests/core/runs/test_two_entries.py
+++ b/tests/core/runs/test_two_entries.py
@@ -1,4 +1,4 @@
-"""One job at two entries at once: it stays one job, and both callers are answered.
+"""A job submitted at two entries at once: it runs once, and both callers are answered.
 
 ``RunsWorld`` checks after every step that no task runs twice at once.
 """
@@ -10,21 +10,35 @@
 from tests.core.runs.test_path import make_world
 from tests.lib.runs_world import RunsWorld, make_job
 
-GAPS = (0.0, 0.0002, 0.0005, 0.001, 0.0015, 0.003, 0.01, 0.07, 0.3, 0.7, 1.3)
-"""Seconds between the two submissions, from within a link's delay to a caller's wait
-after a broken connection."""
-
-CUTS = (0.0, 0.1, 0.28, 0.6, 0.75, 1.0)
-"""Seconds from the entries' cut to the first submission; it is noticed after 0.7."""
-
-WIDE_CUTS = (0.1, 0.5, 0.9, 1.3)
-
-WIDTH, SECONDS = 2, 1.8
-"""Tasks of a job, and how long they run: so that jobs don't have to wait for room."""
-
-
-def make_wide_world(seed: int = 0) -> RunsWorld:
-    """Make a deployment in which agents meet two of five entries each."""
+SUBMISSION_GAPS_SECONDS = (
+    0.0,
+    0.0002,
+    0.0005,
+    0.001,
+    0.0015,
+    0.003,
+    0.01,
+    0.07,
+    0.3,
+    0.7,
+    1.3,
+)
+"""Intervals between the two submissions: from less than a link's delay up to the time
+for which a caller waits after a broken connection."""
+
+CUT_LEADS_SECONDS = (0.0, 0.1, 0.28, 0.6, 0.75, 1.0)
+"""Time from the cut between two entries, which they notice after 0.7 s, to the first
+submission."""
+
+PARTIAL_MESH_CUT_LEADS_SECONDS = (0.1, 0.5, 0.9, 1.3)
+
+TASKS_PER_JOB, RUN_SECONDS = 2, 1.8
+"""Tasks of a job, and their run time; small enough for jobs not to wait for free
+capacity."""
+
+
+def make_partial_mesh(seed: int = 0) -> RunsWorld:
+    """Make a deployment in which each agent has streams to two of five entries."""
     world = RunsWorld(seed, entries_per_agent=2)
     for number in range(5):
         world.add_entry(f"entry-{number}")
@@ -35,24 +49,24 @@
 
 
 def count_starts(world: RunsWorld) -> int:
-    """Count the starts that endpoints have carried out."""
+    """Count the runs that endpoints have started."""
     return sum(len(each.started) for each in world.endpoints.values() if each)
 
 
 def submit_twice(
     world: RunsWorld, first: str, second: str, gap: float, job: str = "j1"
 ) -> None:
-    """Submit a job at one entry and, a while later, at another."""
-    spec = make_job(job, width=WIDTH, seconds=SECONDS)
+    """Submit a job at one entry and, after a gap in seconds, at another."""
+    spec = make_job(job, width=TASKS_PER_JOB, seconds=RUN_SECONDS)
     world.submit(first, spec)
     world.run(gap)
     world.submit(second, spec)
 
 
-def serve_twice(world: RunsWorld, gap: float, pause: float) -> None:
-    """Submit jobs at two entries each, and see that they are done.
+def check_duplicate_jobs(world: RunsWorld, gap: float, pause: float) -> None:
+    """Submit six jobs at two entries each, and check that all are completed.
 
-    :param pause: seconds between one job and the next.
+    :param pause: seconds between two jobs.
     """
     jobs = [f"j{number}" for number in range(6)]
     for job in jobs:
@@ -63,12 +77,12 @@
         assert "completed" in world.get_ends(job)
 
 
-@pytest.mark.parametrize("gap", GAPS)
+@pytest.mark.parametrize("gap", SUBMISSION_GAPS_SECONDS)
 @pytest.mark.parametrize(("entries", "agents"), [(2, 2), (2, 4), (3, 4), (4, 8)])
 def test_a_job_at_two_entries_is_run_once_and_answered_to_both(
     entries: int, agents: int, gap: float
 ) -> None:
-    """Guards against a task at two endpoints, and against an answer to nobody."""
+    """Guards against a task at two endpoints, and a caller without an answer."""
     world = make_world(entries=entries, agents=agents)
     jobs = [f"j{number}" for number in range(6)]
     for job in jobs:
@@ -77,16 +91,16 @@
     world.run(8.0)
     for job in jobs:
         assert world.get_ends(job) == ["completed", "completed"]
-    assert count_starts(world) == WIDTH * len(jobs)
+    assert count_starts(world) == TASKS_PER_JOB * len(jobs)
 
 
-@pytest.mark.parametrize("gap", GAPS)
+@pytest.mark.parametrize("gap", SUBMISSION_GAPS_SECONDS)
 @pytest.mark.parametrize("seed", range(6))
-def test_a_job_at_two_entries_of_a_wide_fleet_is_run_once(
+def test_a_job_at_two_entries_of_a_partial_mesh_is_run_once(
     seed: int, gap: float
 ) -> None:
-    """Guards against a task at two endpoints where agents meet some entries only."""
-    world = make_wide_world(seed)
+    """Guards against a task at two endpoints where agents connect to some entries."""
+    world = make_partial_mesh(seed)
     jobs = [f"j{number}" for number in range(4)]
     for number, job in enumerate(jobs):
         first, second = f"entry-{number}", f"entry-{(number + 1 + seed) % 5}"
@@ -100,18 +114,18 @@
 
 
 @pytest.mark.parametrize("hangs_up", [False, True])
-@pytest.mark.parametrize("gap", GAPS)
-@pytest.mark.parametrize("cut_before", CUTS)
+@pytest.mark.parametrize("gap", SUBMISSION_GAPS_SECONDS)
+@pytest.mark.parametrize("cut_before", CUT_LEADS_SECONDS)
 @pytest.mark.parametrize(("entries", "agents"), [(2, 4), (3, 4)])
 def test_a_job_at_two_entries_that_are_cut_off_from_each_other_is_run_once(
     entries: int, agents: int, cut_before: float, gap: float, hangs_up: bool
 ) -> None:
-    """Guards against a task at two endpoints across a cut, noticed or not."""
+    """Guards against a task at two endpoints across a cut, noticed or not yet."""
     world = make_world(entries=entries, agents=agents)
     world.cut_link("entry-0", "entry-1")
     world.run(cut_before)
     for number in range(3):
-        job = make_job(f"j{number}", width=WIDTH, seconds=SECONDS)
+        job = make_job(f"j{number}", width=TASKS_PER_JOB, seconds=RUN_SECONDS)
         caller = world.submit("entry-1", job)
         world.run(gap)
         if hangs_up:
@@ -122,22 +136,22 @@
     world.heal()
     world.run(3.0)
     for number in range(3):
-        # A caller who hung up may be the one whose entry was let start the job.
+        # The job may have been granted to the entry of the caller that hung up.
         ends = world.get_ends(f"j{number}")
         assert ends if hangs_up else "completed" in ends
 
 
-@pytest.mark.parametrize("gap", GAPS)
-@pytest.mark.parametrize("cut_before", WIDE_CUTS)
+@pytest.mark.parametrize("gap", SUBMISSION_GAPS_SECONDS)
+@pytest.mark.parametrize("cut_before", PARTIAL_MESH_CUT_LEADS_SECONDS)
 @pytest.mark.parametrize("seed", range(3))
-def test_a_job_at_two_entries_of_a_wide_fleet_that_are_cut_off_is_run_once(
+def test_a_job_at_two_cut_off_entries_of_a_partial_mesh_is_run_once(
     seed: int, cut_before: float, gap: float
 ) -> None:
-    """Guards against the same where agents can't tell."""
-    world = make_wide_world(seed)
+    """Guards against a task at two endpoints where agents can't tell what runs."""
+    world = make_partial_mesh(seed)
     world.cut_link("entry-0", "entry-1")
     world.run(cut_before)
-    serve_twice(world, gap, 0.02)
+    check_duplicate_jobs(world, gap, 0.02)
 
 
 @pytest.mark.parametrize("gap", [0.0, 0.0005, 0.01, 0.3])
@@ -146,7 +160,7 @@
 def test_a_job_at_two_entries_while_a_third_one_joins_is_run_once(
     unreached: bool, started_before: float, gap: float
 ) -> None:
-    """Guards against two entries that disagree on who decides, as one joins."""
+    """Guards against two entries that disagree on a job's home, as one joins."""
     world = make_world(entries=3, agents=4)
     if unreached:
         world.darken("entry-2")
@@ -154,7 +168,7 @@
     world.add_entry("entry-3")
     world.processes["entry-3"].give(AddressesRead(("entry-2",)))
     world.run(started_before)
-    serve_twice(world, gap, 0.002)
+    check_duplicate_jobs(world, gap, 0.002)
 
 
 @pytest.mark.parametrize("gap", [0.0, 0.0005, 0.01, 0.3])
@@ -164,8 +178,8 @@
 def test_a_job_at_two_entries_while_a_third_one_is_lost_is_run_once(
     wide: bool, how: str, ended_before: float, gap: float
 ) -> None:
-    """Guards against two entries that disagree on who decides, as one is lost."""
-    world = make_wide_world() if wide else make_world(entries=4, agents=4)
+    """Guards against two entries that disagree on a job's home, as one is lost."""
+    world = make_partial_mesh() if wide else make_world(entries=4, agents=4)
     world.run(0.013)
     if how == "stop":
         world.stop("entry-2")
@@ -173,13 +187,13 @@
     else:
         getattr(world, how)("entry-2")
     world.run(ended_before)
-    serve_twice(world, gap, 0.002)
+    check_duplicate_jobs(world, gap, 0.002)
 
 
 @pytest.mark.parametrize("gap", [0.0, 0.0005, 0.001, 0.0015, 0.002, 0.003, 0.005])
 @pytest.mark.parametrize("cut_before", [0.75, 1.0, 5.0])
 @pytest.mark.parametrize("agents", [2, 4])
-def test_agents_that_hear_claims_in_another_order_let_one_entry_start_the_job(
+def test_agents_that_get_claims_in_another_order_let_one_entry_start_the_job(
     agents: int, cut_before: float, gap: float
 ) -> None:
     """Guards against a task at two endpoints as two entries claim a job at once."""
@@ -187,33 +201,34 @@
     world.cut_link("entry-0", "entry-1")
     world.run(cut_before)
     for number in range(agents):
-        # Each agent is nearer to another entry.
+        # Half of the agents get the frames of entry-0 late, the others those of
+        # entry-1.
         world.delay_frames(f"entry-{number % 2}", f"agent-{number}", 0.002)
-    serve_twice(world, gap, 0.02)
+    check_duplicate_jobs(world, gap, 0.02)
 
 
-def test_a_home_that_has_just_joined_asks_the_one_before_it() -> None:
-    """Guards against a new entry that lets start what runs already."""
+def test_a_home_that_has_just_joined_asks_the_previous_home() -> None:
+    """Guards against a new entry that grants a job which is running already."""
     world = make_world(entries=3, agents=4)
     jobs = [f"j{number}" for number in range(12)]
     for other in ("entry-1", "entry-3"):
         world.delay_frames("entry-0", other, 0.3)
     world.delay_frames("entry-2", "entry-3", 0.3)
     for job in jobs:
-        world.submit("entry-0", make_job(job, seconds=SECONDS))
+        world.submit("entry-0", make_job(job, seconds=RUN_SECONDS))
     world.run(0.01)
     world.add_entry("entry-3")
     world.run(0.15)
     for job in jobs:
-        world.submit("entry-1", make_job(job, seconds=SECONDS))
+        world.submit("entry-1", make_job(job, seconds=RUN_SECONDS))
     world.run(8.0)
     for job in jobs:
         assert world.get_ends(job) == ["completed", "completed"]
 
 
 @pytest.mark.parametrize("granted_before", [0.001, 0.003, 0.01])
-def test_a_home_that_ends_tells_others_what_it_let_start(granted_before: float) -> None:
-    """Guards against the next home, which lets start what runs already."""
+def test_a_home_that_stops_announces_its_grants(granted_before: float) -> None:
+    """Guards against the next home granting a job that is running already."""
     world = make_world(entries=4, agents=4)
     world.stop("entry-2")
     world.run(UNREADY_SECONDS - granted_before - 0.002)
@@ -221,19 +236,21 @@
         world.delay_frames("entry-0", other, 0.1)
     jobs = [f"j{number}" for number in range(12)]
     for job in jobs:
-        world.submit("entry-0", make_job(job, seconds=SECONDS))
+        world.submit("entry-0", make_job(job, seconds=RUN_SECONDS))
     world.run_until(lambda: "entry-2" in world.quiet, 1.0)
     world.kill("entry-2")
     world.run(0.003)
     for job in jobs:
-        world.submit("entry-1", make_job(job, seconds=SECONDS))
+        world.submit("entry-1", make_job(job, seconds=RUN_SECONDS))
     world.run(8.0)
     for job in jobs:
         assert world.get_ends(job) == ["completed", "completed"]
 
 
-def test_a_job_that_comes_twice_to_an_entry_which_waits_is_answered_to_both() -> None:
-    """Guards against a second submission that is refused while the first one waits."""
+def test_a_job_submitted_twice_at_an_entry_that_is_not_synced_is_answered_to_both() -> (
+    None
+):
+    """Guards against a second submission that is refused while the first is held."""
     world = make_world(entries=2, agents=2)
     world.darken("entry-1")
     world.kill("entry-0")
--- a/tests/core/runs/test_two_entries_exploration.py
+++ b/tests/core/runs/test_two_entries_exploration.py
@@ -1,4 +1,4 @@
-"""Callers that submit a job at two entries within moments, while all else fails."""
+"""Jobs that are submitted at two entries in a short time, under random faults."""
 
 from collections.abc import Callable
 
@@ -10,19 +10,19 @@
 from tests.core.runs.test_silence_exploration import SilenceExplorer
 from tests.lib.runs_world import make_job
 
-GAPS = (0.0, 0.0005, 0.001, 0.003, 0.01, 0.07, 0.3, 0.8)
-"""Seconds between a job's two submissions."""
+SUBMISSION_GAPS_SECONDS = (0.0, 0.0005, 0.001, 0.003, 0.01, 0.07, 0.3, 0.8)
+"""Possible intervals between the two submissions of a job."""
 
 
 class DuplicateSubmissionExplorer(SilenceExplorer):
-    """Explores jobs that are submitted at two entries, or twice at one."""
+    """Adds duplicate submissions, at two entries or at one, to the random events."""
 
     def list_kinds(self) -> list[Callable[[], None]]:
-        """List what may happen."""
+        """List the events to choose from; eight of them submit a job twice."""
         return [*super().list_kinds(), *[self.submit_twice] * 8]
 
     def submit_twice(self) -> None:
-        """Submit a new job at two entries, or twice at one; one caller may hang up."""
+        """Submit a new job at two entries, or twice at one; a caller may hang up."""
         first, second = self._pick_live(self.entries), self._pick_live(self.entries)
         if first is None or second is None:
             return
@@ -31,7 +31,7 @@
         job = make_job(f"j{self.submitted}", width, seconds)
         process = self.world.processes[first]
         caller = self.world.submit(first, job, self.rng.choice((2.0, 5.0)))
-        gap = self.rng.choice(GAPS)
+        gap = self.rng.choice(SUBMISSION_GAPS_SECONDS)
         if self.rng.random() < 0.3:
             self.world.after(gap, lambda: process.give(CallerGone(caller)))
         patience = self.rng.choice((2.0, 5.0))
@@ -47,5 +47,5 @@
 def test_nothing_runs_twice_though_jobs_come_to_two_entries(
     size: Size, seed: int
 ) -> None:
-    """Guards against a task at two endpoints under random faults."""
+    """Guards against a task that runs at two endpoints under random faults."""
     explore(DuplicateSubmissionExplorer(seed, size=size))
