--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -242,7 +242,7 @@
     Break(
         "leases are granted however long ago entries lived",
         f"{LEASED}/liveness.py",
-        "        return min(proofs, default=math.inf) + OWNER_LIVENESS_SECONDS",
+        "        return min(last_alive, default=math.inf) + OWNER_LIVENESS_SECONDS",
         "        return math.inf",
         f"{RUNS}/test_takeovers.py::"
         "test_runs_end_with_their_entry_though_their_agent_dies_before_it_stops_them",
@@ -253,7 +253,7 @@
         "            self._wake()",
         "            pass",
         f"{RUNS}/test_takeovers.py::"
-        "test_an_entry_that_wakes_up_starts_nothing_before_it_has_heard_others",
+        "test_a_resumed_entry_starts_nothing_before_others_announced_their_jobs",
     ),
     Break(
         "agents without an answer run nothing",
@@ -261,7 +261,7 @@
         "        return self.last_alive_at + LAPSE_SECONDS",
         "        return self.last_alive_at",
         f"{RUNS}/test_takeovers.py::"
-        "test_a_job_of_a_lost_entry_waits_though_nobody_can_tell_of_it",
+        "test_a_job_of_a_lost_entry_waits_though_no_process_left_knows_it",
     ),
     Break(
         "no home is asked",
@@ -277,29 +277,28 @@
         "        if claimant is None or now - claimant.at > SIMULTANEOUS_SECONDS:",
         "        if True:",
         f"{RUNS}/test_two_entries.py::"
-        "test_agents_that_hear_claims_in_another_order_let_one_entry_start_the_job",
+        "test_agents_that_get_claims_in_another_order_let_one_entry_start_the_job",
     ),
     Break(
         "a home that has just joined decides at once",
         f"{LEASED}/homes.py",
-        "        if route != LOCAL_ROUTE or self._is_informed():",
+        "        if route != LOCAL_ROUTE or self._is_synced():",
         "        if True:",
         f"{RUNS}/test_two_entries.py::"
-        "test_a_home_that_has_just_joined_asks_the_one_before_it",
+        "test_a_home_that_has_just_joined_asks_the_previous_home",
     ),
     Break(
         "a home that ends tells nobody what it decided",
         f"{LEASED}/entry.py",
         "            self.handover.leave()\n",
         "",
-        f"{RUNS}/test_two_entries.py::"
-        "test_a_home_that_ends_tells_others_what_it_let_start",
+        f"{RUNS}/test_two_entries.py::test_a_home_that_stops_announces_its_grants",
     ),
     Break(
         "jobs that wait count as taken",
         f"{LEASED}/handover.py",
         " if each.claim_sent]\n",
-        "]\n        taken += self._unsorted.values()\n",
+        "]\n        owned += self._undecided.values()\n",
         f"{RUNS}/test_two_entries_exploration.py",
     ),
     Break(
@@ -341,7 +340,7 @@
     Break(
         "nobody is told what was taken",
         f"{LEASED}/ownership_announcements.py",
-        '            self._out(Send(link.stream, Took([name], [0.0], "")))',
+        '            self._emit(Send(link.stream, Took([name], [0.0], "")))',
         "            pass",
         f"{RUNS}/test_partial_mesh.py::"
         "test_a_job_whose_home_is_lost_is_known_by_what_its_entry_has_told",
@@ -349,8 +348,8 @@
     Break(
         "late peers are not told what was taken",
         f"{LEASED}/handover.py",
-        "        self._tellings.announce_all"
-        "(link.stream, self._list_taken(), self._now)",
+        "        self._announcements.announce_all"
+        "(link.stream, self._list_owned(), self._now)",
         "        pass",
         f"{RUNS}/test_partial_mesh.py::"
         "test_a_job_whose_home_is_lost_is_known_by_what_its_entry_has_told",
@@ -414,8 +413,8 @@
     Break(
         "takings of lost entries are not passed on",
         f"{LEASED}/handover.py",
-        "        self._tellings.announce_unreachable_owners(\n"
-        "            link.stream, self._takings, self._now\n        )\n",
+        "        self._announcements.announce_unreachable_owners(\n"
+        "            link.stream, self._ownership, self._now\n        )\n",
         "",
         f"{RUNS}/test_failures.py::"
         "test_an_entry_killed_and_back_at_once_knows_what_it_had_taken",
