--- a/src/godwitbank/_internal/core/runs/handover.py
+++ b/src/godwitbank/_internal/core/runs/handover.py
@@ -497,7 +497,9 @@
     def _all_agents_known(self) -> bool:
         """Whether every agent that may run a job is known and can be asked."""
         recently_active = self._readiness.is_recently_active
-        return not recently_active and not self._dispatcher.fleet.has_lost_agents(self._now)
+        return not recently_active and not self._dispatcher.fleet.has_lost_agents(
+            self._now
+        )
 
     def _dispatch(self, job: Job) -> None:
         name = job.spec.job
--- a/tests/core/runs/test_liveness.py
+++ b/tests/core/runs/test_liveness.py
@@ -19,7 +19,9 @@
     liveness = EntryLiveness()
     liveness.record_alive("entry-0", NOW)
     liveness.record_alive("entry-1", NOW + 0.3)
-    assert liveness.find_lease_end(["entry-0", "entry-1"]) == NOW + OWNER_LIVENESS_SECONDS
+    assert (
+        liveness.find_lease_end(["entry-0", "entry-1"]) == NOW + OWNER_LIVENESS_SECONDS
+    )
     assert liveness.find_lease_end(["entry-1"]) == NOW + 0.3 + OWNER_LIVENESS_SECONDS
 
 
--- a/tests/core/runs/test_remote_callers.py
+++ b/tests/core/runs/test_remote_callers.py
@@ -39,7 +39,9 @@
     )
     result = JobResult(SPEC.job, JobEnd.FAILED, "attempts", True)
     own = AnswerCaller(1, result)
-    (kept, sent) = remote_callers.route_answers([own, AnswerCaller(event.caller, result)])
+    (kept, sent) = remote_callers.route_answers(
+        [own, AnswerCaller(event.caller, result)]
+    )
     assert kept is own
     assert isinstance(sent, Send)
     assert (sent.stream, sent.message) == (
