--- a/src/godwitbank/_internal/core/runs/fleet.py
+++ b/src/godwitbank/_internal/core/runs/fleet.py
@@ -151,8 +151,7 @@
 class Fleet:
     """All agents, by stream; health outlives a stream.
 
-    :param agent_startup_seconds: seconds within which a new agent may still learn of
-        its endpoint.
+    :param arrival_seconds: within which a new agent may still hear of its endpoint.
     """
 
     def __init__(self, agent_startup_seconds: float) -> None:
