--- a/src/godwitbank/_internal/core/runs/admission.py
+++ b/src/godwitbank/_internal/core/runs/admission.py
@@ -1,7 +1,7 @@
-"""Whether a job is taken: refuse at once what can't be served in time.
+"""Admission control: refuses jobs that can't be served in time.
 
-A caller who is refused at once can act; one who waits in a queue that can't be
-served in time loses that time, and takes room from those who could be served.
+A caller that is refused at once can try elsewhere. One that waits for a job that won't
+be served in time loses that time, and its job uses capacity of jobs that could be.
 """
 
 from bisect import bisect_left
@@ -10,108 +10,123 @@
 from godwitbank._internal.core.runs.policy import DEFAULT_POLICY, Policy
 
 HORIZONS_SECONDS = (0.1, 0.2, 0.4, 0.8, 1.6, 1e9)
-"""Seconds to the latest start by which waiting work is told to other entries."""
+"""Seconds until the latest start; entries report the backlog within each to peers."""
 
 RETRY_AFTER_SECONDS = 1.0
-"""Seconds after which a caller that was refused may try again."""
+"""Seconds after which a refused caller may retry."""
 
 LATE_FACTOR = 3.0
-"""A result after this multiple of the objective is of no use to the caller."""
+"""Multiple of the objective after which a result is of no use to the caller."""
 
 MAX_WAIT_TO_SLACK = 1.0
-"""Multiple of a job's slack that its expected wait may reach."""
+"""Multiple of a job's slack, the time until its latest start, that its expected wait
+may reach."""
 
 MAX_DRAIN_SECONDS = 0.05
-"""Seconds all endpoints may need for what waits and must start before a new job.
+"""Seconds that all endpoints together may need for the backlog ahead of a new job.
 
-Above it more arrives than can be served. What is taken then makes something else
+Above it, more work arrives than can be served, and every accepted job makes another one
 late: a long job that may wait a second is overtaken for longer than that. Less urgent
-work doesn't count: it lets the new job pass.
+work doesn't count, because the new job is served before it.
 """
 
 SIZE_EXPONENT = 0.5
 """Power of a job's size, relative to its queue's mean, by which ``MAX_DRAIN_SECONDS``
 shrinks.
 
-While not all can be served, the room of one large job serves several small ones. With
-a power of 1 the queue of the largest jobs would hardly be served."""
+Under overload, the capacity that one large job needs serves several small ones. With a
+power of 1, the largest jobs of a queue would hardly ever be accepted."""
 
 MAX_SIZE_FACTOR = 2.0
 """Largest multiple of ``MAX_DRAIN_SECONDS``, for jobs of at most a quarter of the
 mean."""
 
 MEAN_WORK_WEIGHT = 0.02
-"""Weight of the newest job in its queue's mean work: some fifty jobs count."""
+"""Weight of the newest job in its queue's mean size; averages about fifty jobs."""
 
 MIN_JOB_CORE_SECONDS = 1e-3
-"""Core-seconds that a job counts for at least."""
+"""Lower bound of a job's size, in core-seconds."""
 
 EXEMPT_WAITING_TASKS = 2
-"""Tasks that may wait at an entry whatever ``MAX_DRAIN_SECONDS`` says: where there
-are few endpoints, a single task takes them longer."""
+"""Number of waiting tasks at an entry below which ``MAX_DRAIN_SECONDS`` doesn't apply.
+Where there are few endpoints, even a single task takes them longer than that."""
 
 
 class Admission:
-    """Backlog of all entries, and what it means for a new job."""
+    """Decides by the backlog of all entries which jobs are refused."""
 
     def __init__(self, policy: Policy = DEFAULT_POLICY) -> None:
         self._policy = policy
-        self._mean_work: dict[str, float] = {}
-        self._peers: dict[str, list[float]] = {}
+        self._mean_core_seconds: dict[str, float] = {}
+        self._peer_backlogs: dict[str, list[float]] = {}
         self.agent_overlap = 1.0
-        """Share of an entry's agents that another one meets, too: of what waits there
-        that much competes for the room seen here."""
+        """Share of an entry's agents that another entry is connected to, too. The same
+        share of a peer's backlog competes for the capacity known here."""
 
     def update_peer_backlog(self, peer: str, backlog: list[float]) -> None:
-        """Note a peer's backlog, in core-seconds by ``HORIZONS_SECONDS``."""
+        """Record a peer's backlog.
+
+        :param peer: incarnation of the peer.
+        :param backlog: core-seconds for each of ``HORIZONS_SECONDS``.
+        """
         if len(backlog) == len(HORIZONS_SECONDS):
-            self._peers[peer] = backlog
+            self._peer_backlogs[peer] = backlog
 
     def is_peer_idle(self, peer: str) -> bool:
-        """Tell whether nothing waits for room at a peer, by what it told last."""
-        backlog = self._peers.get(peer)
+        """Return whether a peer had no backlog when it last reported."""
+        backlog = self._peer_backlogs.get(peer)
         return backlog is not None and not any(backlog)
 
     def forget_peer(self, peer: str) -> None:
-        """Forget a peer that is gone."""
-        self._peers.pop(peer, None)
+        """Discard the backlog of a peer that is gone."""
+        self._peer_backlogs.pop(peer, None)
 
     def find_refusal(
-        self, job: Job, own: list[float], tasks: int, capacity: float, now: float
+        self,
+        job: Job,
+        own_backlog: list[float],
+        waiting_tasks: int,
+        capacity: float,
+        now: float,
     ) -> str | None:
-        """Tell why a job must be refused, or ``None``.
+        """Return the reason to refuse a job, or ``None`` to accept it.
 
-        :param own: backlog of this entry, in core-seconds by ``HORIZONS_SECONDS``.
-        :param tasks: tasks that wait at this entry.
-        :param capacity: cores of all open endpoints of its service.
+        :param own_backlog: core-seconds that wait at this entry, for each of
+            ``HORIZONS_SECONDS``.
+        :param waiting_tasks: number of tasks that wait at this entry.
+        :param capacity: cores of all endpoints that accept runs of the job's service.
         """
         if capacity <= 0:
             return "no_endpoint"
         slack = max(job.rank - now, 0.05)
         position = bisect_left(HORIZONS_SECONDS, slack)
-        others = sum(backlog[position] for backlog in self._peers.values())
-        others *= self.agent_overlap
-        ahead = own[position] + others
-        if ahead / capacity > MAX_WAIT_TO_SLACK * slack:
+        peer_work = sum(backlog[position] for backlog in self._peer_backlogs.values())
+        peer_work *= self.agent_overlap
+        work_ahead = own_backlog[position] + peer_work
+        if work_ahead / capacity > MAX_WAIT_TO_SLACK * slack:
             return "overload"
         if not self._policy.drain_bound:
             return None
-        limit = MAX_DRAIN_SECONDS * self._weigh_size(job)
-        few = tasks < EXEMPT_WAITING_TASKS and others <= limit * capacity / 2
-        if not few and ahead > limit * capacity:
+        limit = MAX_DRAIN_SECONDS * self._measure_size_factor(job)
+        exempt = (
+            waiting_tasks < EXEMPT_WAITING_TASKS and peer_work <= limit * capacity / 2
+        )
+        if not exempt and work_ahead > limit * capacity:
             return "overload"
         return None
 
-    def _weigh_size(self, job: Job) -> float:
+    def _measure_size_factor(self, job: Job) -> float:
         """Return the multiple of ``MAX_DRAIN_SECONDS`` that applies to a job's size."""
         if not self._policy.small_first:
             return 1.0
-        name, work = job.queue.name, max(job.core_seconds, MIN_JOB_CORE_SECONDS)
-        mean = self._mean_work.get(name, work)
-        self._mean_work[name] = mean + MEAN_WORK_WEIGHT * (work - mean)
-        return min(MAX_SIZE_FACTOR, (mean / work) ** SIZE_EXPONENT)
+        name, core_seconds = job.queue.name, max(job.core_seconds, MIN_JOB_CORE_SECONDS)
+        mean_core_seconds = self._mean_core_seconds.get(name, core_seconds)
+        self._mean_core_seconds[name] = mean_core_seconds + MEAN_WORK_WEIGHT * (
+            core_seconds - mean_core_seconds
+        )
+        return min(MAX_SIZE_FACTOR, (mean_core_seconds / core_seconds) ** SIZE_EXPONENT)
 
     def is_too_late(self, job: Job, now: float) -> bool:
-        """Tell whether a job that hasn't begun can't end in time any more."""
-        chain = job.objective - (job.rank - job.arrival)
-        return now + chain > job.arrival + LATE_FACTOR * job.objective
+        """Return whether a job that wasn't started can't be done in time any more."""
+        critical_path = job.objective - (job.rank - job.arrival)
+        return now + critical_path > job.arrival + LATE_FACTOR * job.objective
--- a/src/godwitbank/_internal/core/runs/dispatcher.py
+++ b/src/godwitbank/_internal/core/runs/dispatcher.py
@@ -1,4 +1,4 @@
-"""Jobs of leased runs at one entry: queueing, placing, retries, results."""
+"""Queueing, placement, retries and results of the jobs at one entry."""
 
 import math
 from collections.abc import Callable
@@ -35,23 +35,25 @@
 )
 
 MAX_UNPLACED_TASKS = 8
-"""Waiting tasks looked at in one go; behind that many that found no place the
-rest is as unlikely to find one."""
+"""Waiting tasks that may fail to find an agent before a dispatch stops; the tasks
+behind that many are unlikely to find one either."""
 
 MAX_MOVES = 2
-"""Times a task is moved because it was slow. What was expected of it may be wrong, and
-it would be as slow everywhere."""
+"""Times a task is moved off a slow endpoint. If its predicted run time is wrong, the
+task is as slow everywhere and further moves gain nothing."""
 
 LATE_RANK_SECONDS = 1000.0
-"""Seconds of rank behind every timely task; what has been late for longer comes
-after what is late for less, as it is less likely to be of use still."""
+"""Seconds added to the lateness of a late task to form its rank at an agent, so that it
+sorts behind all timely tasks. The latest task sorts last, as its result is the least
+likely to be of use."""
 
 REMOTE_CAPACITY_FACTOR = 2
-"""Multiple of the room that a job of another entry's caller needs that must be free:
-others place there at the same moment."""
+"""Multiple of the capacity that a job forwarded by another entry needs which must be
+free. Other entries place tasks at the same agents concurrently."""
 
-_ROOM_ELSEWHERE = {"overload", "no_endpoint", "arriving", "evacuated"}
-"""Refusals for want of room at the agents met here; others meet other ones."""
+_FORWARDABLE_REFUSALS = {"overload", "no_endpoint", "arriving", "evacuated"}
+"""Refusals for lack of capacity at the agents this entry is connected to. Other entries
+are connected to other agents, so the job may be forwarded."""
 
 _NOT_STARTED = {
     RunEnd.NOT_STARTED,
@@ -62,11 +64,15 @@
 }
 
 
-_UNPLACED = {TaskState.BLOCKED, TaskState.WAITING}
+_UNPLACED_STATES = {TaskState.BLOCKED, TaskState.WAITING}
 
 
 class Dispatcher:
-    """Places tasks at agents and turns their outcomes into results."""
+    """Places tasks at agents and turns the outcomes of their runs into job results.
+
+    :ivar jobs: jobs in flight, by id.
+    :ivar shutdown_at: time at which this process stops; infinite while it serves.
+    """
 
     def __init__(
         self,
@@ -91,38 +97,46 @@
         self._rng = rng
         self._counts = counts
         self.on_job_removed: Callable[[str], None] = lambda job: None
-        """Told of each job of which nothing is left."""
+        """Called with the id of each job that has ended with none of its runs alive."""
         self.may_run_elsewhere: Callable[[], bool] = lambda: False
+        """Returns whether a job that lost its runs may run at another entry by now."""
         self.try_forward: Callable[[Job], bool] = lambda job: False
+        """Forwards a job to an entry with free capacity; false if there is none."""
         self._waiting: dict[str, WaitingTasks] = {}
-        self._limbo: list[Task] = []
+        self._orphaned: list[Task] = []
         self._now = 0.0
-        self._out: Callable[[RunAction], None] = lambda action: None
+        self._emit: Callable[[RunAction], None] = lambda action: None
+
+    def begin_event(self, now: float, emit: Callable[[RunAction], None]) -> None:
+        """Prepare for one event.
 
-    def begin_event(self, now: float, out: Callable[[RunAction], None]) -> None:
-        """Prepare for one event."""
+        :param now: time of the event, in seconds.
+        :param emit: receives the actions to carry out.
+        """
         self._now = now
-        self._out = out
+        self._emit = emit
 
-    def _note(self, event: str, request: str, **fields: object) -> None:
-        self._out(Note(event, request, fields))
+    def _log_decision(self, event: str, request: str, **fields: object) -> None:
+        self._emit(Note(event, request, fields))
 
     # Jobs
 
     def submit(self, job: Job) -> None:
-        """Take a job, or refuse it at once if it can't be served in time."""
-        guesses = [step.estimate for step in job.spec.steps]
+        """Accept a job, forward it, or refuse it if it can't be served in time."""
+        estimates = [step.estimate for step in job.spec.steps]
         name = job.queue.name
-        job.create_tasks([self._expect(name, guess) for guess in guesses])
+        job.create_tasks(
+            [self._predict_run_time(name, estimate) for estimate in estimates]
+        )
         refusal = self._find_refusal(job)
-        if refusal in _ROOM_ELSEWHERE and self.try_forward(job):
+        if refusal in _FORWARDABLE_REFUSALS and self.try_forward(job):
             return
         if refusal is not None:
             self.refuse(job, refusal)
             return
         self.jobs[job.spec.job] = job
         self._counts.add("jobs_accepted")
-        self._note(
+        self._log_decision(
             "job_accepted",
             job.spec.job,
             queue=name,
@@ -134,14 +148,14 @@
             self._get_waiting(job).add(task)
         self.dispatch(job.queue.service)
 
-    def _expect(self, queue: str, guess: float) -> float:
+    def _predict_run_time(self, queue: str, estimate: float) -> float:
         if not self._policy.mended_estimates:
-            return guess
-        return self.estimates.predict(queue, guess)
+            return estimate
+        return self.estimates.predict(queue, estimate)
 
     def _find_refusal(self, job: Job) -> str | None:
         if self._now + job.objective > self.shutdown_at:
-            # This process ends before the job would.
+            # This process stops before the job would be done.
             return "stopping"
         service = job.queue.service
         for step in job.spec.steps:
@@ -152,34 +166,42 @@
             if self.fleet.list_accepting_agents(service):
                 return "too_large"
         capacity = self.fleet.measure_capacity(service, self._now)
-        young = self._now - self._booted_at < self._deployment.arrival_seconds
-        if not capacity and (young or self.fleet.awaits_endpoint(self._now)):
-            # Agents will be here and know their endpoints within a second or so. A
-            # job that can't wait that long would be late, and take room from others.
-            waits = job.rank - self._now >= MIN_ARRIVAL_WAIT_SECONDS
-            return None if waits or not self._policy.arrival_bound else "arriving"
-        if job.has_remote_caller and self._has_room_now(job):
-            # What waits elsewhere waits for other agents' room.
+        just_started = self._now - self._booted_at < self._deployment.arrival_seconds
+        if not capacity and (just_started or self.fleet.awaits_endpoint(self._now)):
+            # Agents connect and learn of their endpoints within about a second. A job
+            # that can't wait that long would be late and use capacity others need.
+            can_wait = job.rank - self._now >= MIN_ARRIVAL_WAIT_SECONDS
+            return None if can_wait or not self._policy.arrival_bound else "arriving"
+        if job.has_remote_caller and self._has_free_capacity(job):
+            # The backlogs of other entries don't count against the job, as they wait
+            # for the capacity of other agents.
             return None
-        own = self.measure_backlog()
+        own_backlog = self.measure_backlog()
         tasks = self._get_waiting(job).count
-        return self.admission.find_refusal(job, own, tasks, capacity, self._now)
+        return self.admission.find_refusal(job, own_backlog, tasks, capacity, self._now)
+
+    def _has_free_capacity(self, job: Job) -> bool:
+        """Return whether a forwarded job can be placed immediately.
 
-    def _has_room_now(self, job: Job) -> bool:
-        """Tell whether there is room for a job twice over, and nothing waits for it."""
+        Nothing may be waiting, and ``REMOTE_CAPACITY_FACTOR`` times the capacity that
+        the job needs must be free.
+        """
         if self._get_waiting(job).count:
             return False
         views = self.fleet.list_accepting_agents(job.queue.service)
         step = max(job.spec.steps, key=lambda each: each.needs.cpu)
         cpu = max(step.needs.cpu, 1)
-        room = sum(max(view.free.cpu, 0) // cpu for view in views)
-        return room >= REMOTE_CAPACITY_FACTOR * step.width
+        slots = sum(max(view.free.cpu, 0) // cpu for view in views)
+        return slots >= REMOTE_CAPACITY_FACTOR * step.width
 
     def refuse(self, job: Job, reason: str) -> None:
-        """Answer that a job was not taken, and has not run if that is so."""
+        """Answer a job's callers that it was not accepted.
+
+        The answer says given up instead of refused if a run of the job was ever sent.
+        """
         self._counts.add("jobs_refused", reason)
         service = job.queue.service
-        self._note(
+        self._log_decision(
             "job_refused",
             job.spec.job,
             queue=job.queue.name,
@@ -191,7 +213,7 @@
         end = JobEnd.GIVEN_UP if job.ran else JobEnd.REFUSED
         result = JobResult(job.spec.job, end, reason, job.ran, RETRY_AFTER_SECONDS)
         for caller in job.callers:
-            self._out(Answer(caller, result))
+            self._emit(Answer(caller, result))
 
     def _get_waiting(self, job: Job) -> WaitingTasks:
         service = job.queue.service
@@ -201,7 +223,7 @@
         return found
 
     def measure_backlog(self) -> list[float]:
-        """Tell the core-seconds of work that waits here, by ``HORIZONS_SECONDS``."""
+        """Return the core-seconds that wait here for each of ``HORIZONS_SECONDS``."""
         totals = [0.0] * len(HORIZONS_SECONDS)
         for waiting in self._waiting.values():
             timely = waiting.measure_timely_work(HORIZONS_SECONDS, self._now)
@@ -209,7 +231,7 @@
         return totals
 
     def give_up(self, job: Job, reason: str) -> None:
-        """End a job without its being done; what runs of it is stopped."""
+        """End an unfinished job and stop its runs."""
         if job.ending:
             return
         end = JobEnd.GIVEN_UP if job.ran else JobEnd.REFUSED
@@ -221,9 +243,9 @@
     def _finish(self, job: Job, result: JobResult) -> None:
         job.ending = True
         for caller in job.callers:
-            self._out(Answer(caller, result))
+            self._emit(Answer(caller, result))
         job.callers = []
-        self._note(
+        self._log_decision(
             "job_ended",
             job.spec.job,
             end=result.end,
@@ -234,10 +256,10 @@
         self._counts.add("jobs_ended", result.end)
         for step in job.tasks:
             for task in step:
-                self._abandon(task)
-        self._check_gone(job)
+                self._drop_task(task)
+        self._remove_if_over(job)
 
-    def _abandon(self, task: Task) -> None:
+    def _drop_task(self, task: Task) -> None:
         if task.state is TaskState.WAITING:
             self._get_waiting(task.job).mark_removed()
             task.state = TaskState.DONE
@@ -247,119 +269,128 @@
             view = self.fleet.find(task.agent)
             if view is not None:
                 self._counts.add("stops_sent")
-                self._out(Send(view.stream, StopRun(task.name, task.run)))
+                self._emit(Send(view.stream, StopRun(task.name, task.run)))
 
-    def _check_gone(self, job: Job) -> None:
-        """Forget an ended job once nothing of it can run any more."""
+    def _remove_if_over(self, job: Job) -> None:
+        """Remove a job whose result is out once none of its runs can be alive."""
         if job.ending and not job.list_active_tasks() and not job.ended:
             job.ended = True
             if self.jobs.get(job.spec.job) is job:
                 del self.jobs[job.spec.job]
                 self.on_job_removed(job.spec.job)
 
-    # Placing
+    # Placement
 
-    def dispatch(self, service: str, only: AgentView | None = None) -> None:
-        """Send waiting tasks to agents that have room.
+    def dispatch(self, service: str, changed: AgentView | None = None) -> None:
+        """Send waiting tasks to agents with free capacity.
 
-        :param only: the one agent whose room has changed since all were looked at.
+        :param changed: the only agent whose capacity changed since all agents were
+            tried; ``None`` to try all.
         """
         waiting = self._waiting.get(service)
         if waiting is None or not waiting.count:
             return
-        if only is None:
+        if changed is None:
             views = self.fleet.list_accepting_agents(service)
         else:
-            views = [only] if only.accepts_runs else []
+            views = [changed] if changed.accepts_runs else []
         unplaced: list[Task] = []
         while views and len(unplaced) < MAX_UNPLACED_TASKS:
             task = waiting.pop(self._now)
             if task is None:
                 break
-            place = self._choose_place(task, views)
-            if place is None:
+            placement = self._choose_agent(task, views)
+            if placement is None:
                 unplaced.append(task)
                 continue
             waiting.mark_removed()
-            for passed in unplaced:
-                passed.passed_over += 1
-            self._send(task, place.view, place.parked)
+            for overtaken in unplaced:
+                overtaken.passed_over += 1
+            self._send_start(task, placement.view, placement.parked)
         waiting.put_back(unplaced)
 
-    def _choose_place(self, task: Task, views: list[AgentView]) -> Placement | None:
-        away = self._deployment.away_factor
-        chooser = AgentChooser(self._zone, self._rng, self._now, self._policy, away)
+    def _choose_agent(self, task: Task, views: list[AgentView]) -> Placement | None:
+        off_rack_factor = self._deployment.away_factor
+        chooser = AgentChooser(
+            self._zone, self._rng, self._now, self._policy, off_rack_factor
+        )
         return chooser.choose(task, views)
 
-    def _send(self, task: Task, view: AgentView, parked: bool) -> None:
+    def _send_start(self, task: Task, view: AgentView, parked: bool) -> None:
         task.state = TaskState.SENT
         task.run += 1
         task.agent = view.address
         task.sent_at = self._now
         task.job.ran = True
         view.record_start(task, parked, self._now)
-        rules = task.step_spec
+        step_spec = task.step_spec
         self._counts.add("runs_sent", "parked" if parked else "placed")
-        self._note("run_sent", task.name, run=task.run, agent=view.address, park=parked)
+        self._log_decision(
+            "run_sent", task.name, run=task.run, agent=view.address, park=parked
+        )
         order = StartRun(
             task.name,
             task.run,
             task.job.spec.payload,
-            *rules.needs,
+            *step_spec.needs,
             self._rank_in(task),
             task.expected,
-            rules.spread,
+            step_spec.spread,
             task.checkpoint,
             parked,
             view.link.read_clock(self._now),
         )
-        self._out(Send(view.stream, order))
+        self._emit(Send(view.stream, order))
 
     def _rank_in(self, task: Task) -> float:
-        left = task.job.rank - self._now
+        seconds_left = task.job.rank - self._now
         if not self._policy.late_last:
-            return left
-        # Late work lets all timely work pass, at the agent too.
-        return left if left >= 0 else LATE_RANK_SECONDS - left
+            return seconds_left
+        # Late tasks are scheduled after all timely ones at the agent, too.
+        return seconds_left if seconds_left >= 0 else LATE_RANK_SECONDS - seconds_left
 
     # Evacuated zones
 
     def evacuate(self, zones: frozenset[str], changed: frozenset[str]) -> None:
-        """Place nothing new in some zones, and use those that were taken back."""
+        """Stop placing runs in evacuated zones, and use the zones that are open again.
+
+        :param zones: the zones that are evacuated now.
+        :param changed: the zones that were evacuated or opened again by this change.
+        """
         self.fleet.evacuate(zones, changed)
-        self._give_up_stranded()
+        self._give_up_evacuated()
         for service in self._waiting:
             self.dispatch(service)
 
-    def _give_up_stranded(self) -> None:
-        """Answer callers whose tasks would have to wait for an evacuated zone."""
+    def _give_up_evacuated(self) -> None:
+        """Give up jobs with a task that only fits endpoints of evacuated zones."""
         for job in list(self.jobs.values()):
-            if not job.ending and self._is_stranded(job):
+            if not job.ending and self._is_blocked_by_evacuation(job):
                 self.give_up(job, "evacuated")
 
-    def _is_stranded(self, job: Job) -> bool:
+    def _is_blocked_by_evacuation(self, job: Job) -> bool:
         service = job.queue.service
         return self.fleet.has_evacuated_zones and any(
-            not self.fleet.fits_any_agent(service, rules)
-            and self.fleet.fits_evacuated_agent(service, rules)
-            for rules, tasks in zip(job.spec.steps, job.tasks, strict=True)
-            if any(task.state in _UNPLACED for task in tasks)
+            not self.fleet.fits_any_agent(service, step_spec)
+            and self.fleet.fits_evacuated_agent(service, step_spec)
+            for step_spec, tasks in zip(job.spec.steps, job.tasks, strict=True)
+            if any(task.state in _UNPLACED_STATES for task in tasks)
         )
 
     # Outcomes
 
     def handle_run_begun(self, view: AgentView, message: RunBegun) -> None:
-        """Note that a run no longer waits at its agent."""
+        """Record that a parked run got capacity at its agent."""
         task = view.tasks.get(message.task)
         if task is not None and task.run == message.run:
             view.mark_begun(task)
             self.dispatch(view.service, view)
 
     def handle_run_slow(self, view: AgentView, message: RunSlow) -> None:
-        """Move a slow run, if there is room for it elsewhere now.
+        """Move a slow run to a faster agent if one has free capacity now.
 
-        What it has done so far is lost. While work waits for room that would make
-        other work late.
+        The run's progress is lost. While other tasks wait for capacity nothing is
+        moved, because repeating that work would make them late.
         """
         task = view.tasks.get(message.task)
         if task is None or task.run != message.run or task.job.ending:
@@ -375,20 +406,20 @@
             for each in self.fleet.list_accepting_agents(service)
             if each is not view
         ]
-        place = self._choose_place(task, views)
+        placement = self._choose_agent(task, views)
         if (
-            place is None
-            or place.parked
-            or place.view.slowdown_factor >= view.slowdown_factor
+            placement is None
+            or placement.parked
+            or placement.view.slowdown_factor >= view.slowdown_factor
         ):
             return
         task.moves += 1
         self._counts.add("task_moves")
-        self._note("run_moved", task.name, run=task.run, agent=view.address)
-        self._out(Send(view.stream, StopRun(task.name, task.run)))
+        self._log_decision("run_moved", task.name, run=task.run, agent=view.address)
+        self._emit(Send(view.stream, StopRun(task.name, task.run)))
 
     def handle_run_outcome(self, view: AgentView, message: RunOutcome) -> None:
-        """Act on the end of a run."""
+        """Handle the end of a run: complete its task, retry it, or end its job."""
         task = self._find_task(view, message)
         if task is None:
             self._counts.add("outcomes_dropped")
@@ -397,27 +428,29 @@
         task.agent = ""
         end = RunEnd(message.end)
         self._counts.add("outcomes", end)
-        self._judge(view, task, end, message.elapsed)
+        self._update_health(view, task, end, message.elapsed)
         if message.checkpoint:
             task.checkpoint = message.checkpoint
-        self._settle(task, end, view.address)
-        # What has failed waits again, and any agent may take it.
+        self._resolve_run(task, end, view.address)
+        # A task to retry waits again and may go to any agent, so all are tried.
         self.dispatch(view.service, view if end is RunEnd.DONE else None)
 
     def _find_task(self, view: AgentView, message: RunOutcome) -> Task | None:
         task = view.tasks.get(message.task)
         if task is None:
-            # Told on a new stream: the run was left in limbo on the old one.
-            for limbo in self._limbo:
-                if limbo.name == message.task and limbo.agent == view.address:
-                    task = limbo
+            # Reported on a new stream: losing the old one orphaned the run.
+            for orphan in self._orphaned:
+                if orphan.name == message.task and orphan.agent == view.address:
+                    task = orphan
         if task is None or task.run != message.run:
             return None
-        if task in self._limbo:
-            self._limbo.remove(task)
+        if task in self._orphaned:
+            self._orphaned.remove(task)
         return task
 
-    def _judge(self, view: AgentView, task: Task, end: RunEnd, elapsed: float) -> None:
+    def _update_health(
+        self, view: AgentView, task: Task, end: RunEnd, elapsed: float
+    ) -> None:
         if end is RunEnd.DONE:
             view.health.record_success(elapsed, task.expected)
             self.estimates.observe(task.job.queue.name, elapsed)
@@ -427,13 +460,15 @@
                 view.health.clear()
             elif ejected:
                 self._counts.add("ejections")
-                self._note("agent_ejected", task.name, agent=view.address, end=end)
+                self._log_decision(
+                    "agent_ejected", task.name, agent=view.address, end=end
+                )
 
-    def _settle(self, task: Task, end: RunEnd, agent: str) -> None:
+    def _resolve_run(self, task: Task, end: RunEnd, agent: str) -> None:
         job = task.job
         if job.ending:
             task.state = TaskState.DONE
-            self._check_gone(job)
+            self._remove_if_over(job)
         elif end is RunEnd.DONE:
             self._complete(task)
         elif end is RunEnd.FAILED:
@@ -449,7 +484,8 @@
             if end not in _NOT_STARTED or end is RunEnd.UNHEALTHY:
                 task.avoid.add(agent)
             if end is RunEnd.SUPERSEDED:
-                # Another entry ran it there before, with numbers we don't know.
+                # Another entry ran the task there before with a higher run number,
+                # which isn't known here; doubling soon exceeds it.
                 task.run *= 2
             self._requeue(task)
 
@@ -462,8 +498,8 @@
             self._finish(job, result)
             return
         if job.tasks_left[task.step] == 0:
-            for ready in job.list_ready_tasks():
-                self._get_waiting(job).add(ready)
+            for ready_task in job.list_ready_tasks():
+                self._get_waiting(job).add(ready_task)
 
     def _fail(self, task: Task, agent: str) -> None:
         job = task.job
@@ -479,63 +515,70 @@
 
     def _requeue(self, task: Task) -> None:
         self._get_waiting(task.job).add(task)
-        if self._is_stranded(task.job):
+        if self._is_blocked_by_evacuation(task.job):
             self.give_up(task.job, "evacuated")
 
-    # Agents that come and go
+    # Loss and return of agents
 
     def handle_agent_loss(self, view: AgentView) -> None:
-        """Leave the runs of an agent without a stream in limbo."""
+        """Mark the runs of an agent whose stream is lost as orphaned."""
         self.fleet.remove(view, self._now)
         for task in list(view.tasks.values()):
             view.remove_run(task)
             task.state = TaskState.ORPHANED
             task.lapses_at = self._now + LAPSE_SECONDS
-            self._limbo.append(task)
+            self._orphaned.append(task)
 
-    def reconcile(self, view: AgentView, held: list[str]) -> None:
-        """Compare limbo with what an agent still holds, on its new stream."""
-        names = set(held)
-        for task in [each for each in self._limbo if each.agent == view.address]:
+    def reconcile(self, view: AgentView, held_tasks: list[str]) -> None:
+        """Match orphaned runs with those that a reconnected agent still has.
+
+        :param held_tasks: names of the tasks that the agent has runs of.
+        """
+        names = set(held_tasks)
+        for task in [each for each in self._orphaned if each.agent == view.address]:
             if task.name in names:
-                self._limbo.remove(task)
+                self._orphaned.remove(task)
                 task.state = TaskState.SENT
                 view.add_run(task, self._now)
             elif view.news is not None and view.news.settled:
-                self._release(task)
+                self._release_orphan(task)
 
     def release_orphaned_runs(self, view: AgentView) -> None:
-        """Free what was in limbo at an agent that was started anew."""
-        for task in [each for each in self._limbo if each.agent == view.address]:
-            self._release(task)
+        """Release the orphaned runs of a restarted agent's predecessor.
+
+        Called once everything that the predecessor had started is known to be over.
+        """
+        for task in [each for each in self._orphaned if each.agent == view.address]:
+            self._release_orphan(task)
 
-    def _release(self, task: Task) -> None:
-        self._limbo.remove(task)
+    def _release_orphan(self, task: Task) -> None:
+        self._orphaned.remove(task)
         self._counts.add("limbo_released")
-        self._note("run_lost", task.name, run=task.run, agent=task.agent)
+        self._log_decision("run_lost", task.name, run=task.run, agent=task.agent)
         agent = task.agent
         task.agent = ""
         if self.may_run_elsewhere():
             self.give_up(task.job, "cut_off")
-        self._settle(task, RunEnd.LOST, agent)
+        self._resolve_run(task, RunEnd.LOST, agent)
 
-    def _is_hopeless(self, job: Job) -> bool:
+    def _is_too_late(self, job: Job) -> bool:
         if self.admission.is_too_late(job, self._now):
             return True
-        # With no endpoint there it will only get later; its caller may act now.
+        # Without any endpoint the job only gets later, while a caller that is
+        # answered now can still act.
         late = self._now > job.rank and self._policy.arrival_bound
         return late and not self.fleet.list_accepting_agents(job.queue.service)
 
     def check_deadlines(self) -> None:
-        """Act on deadlines and on runs that must have lapsed by now."""
-        for task in [each for each in self._limbo if each.lapses_at <= self._now]:
-            self._release(task)
+        """Give up expired jobs, release lapsed orphaned runs, and dispatch."""
+        for task in [each for each in self._orphaned if each.lapses_at <= self._now]:
+            self._release_orphan(task)
         for job in list(self.jobs.values()):
             if job.ending:
                 continue
             if job.deadline <= self._now:
                 self.give_up(job, "deadline")
-            elif not job.ran and self._is_hopeless(job):
+            elif not job.ran and self._is_too_late(job):
                 self.give_up(job, "too_late")
         for service in self._waiting:
             self.dispatch(service)
--- a/src/godwitbank/_internal/core/runs/fleet.py
+++ b/src/godwitbank/_internal/core/runs/fleet.py
@@ -1,4 +1,4 @@
-"""The agents that one entry knows: their room, and how well they serve."""
+"""The agents that one entry is connected to, with their capacity and health."""
 
 import math
 from collections import deque
@@ -12,33 +12,44 @@
 from godwitbank._internal.models.run_messages import EndpointNews, Room
 
 CAPACITY_CACHE_SECONDS = 0.05
-"""Age that the sum of all endpoints' cores may reach. Endpoints that come or go change
-it at once; slowness, which is told five times a second, within this time."""
+"""Seconds for which the total capacity of a service is cached. Endpoints that appear or
+disappear invalidate it at once; changes of slowness, which agents report five times a
+second, take effect within this time."""
 
 LOST_AGENT_SECONDS = 12.0
-"""Seconds for which an agent that was lost is missed; longer than callers wait (10 s),
-so that nothing runs there any more of a job that comes again."""
+"""Seconds for which a disconnected agent counts as lost. Longer than callers wait
+(10 s), so that no run of a job is alive there when the job is submitted again."""
 
 MIN_ARRIVAL_WAIT_SECONDS = 0.5
-"""Seconds a job must be able to wait to be taken while no endpoint is there yet. After
-all VMs lost power endpoints come later than entries; what can't wait would be late, and
-take room from what isn't."""
+"""Seconds that a job must be able to wait to be accepted while no endpoint is available
+yet. After a power loss of all VMs endpoints start later than entries; a job that can't
+wait for them would be late and use capacity that timely jobs need."""
 
 
 class CachedCapacity(NamedTuple):
-    """Cores of a service's endpoints, and when they were summed up."""
+    """Total cores of a service's endpoints, and the time they were summed up."""
 
     cores: float
     at: float
 
 
 class AgentView:
-    """An agent with an open stream, as one entry sees it.
-
-    :ivar evacuated: its zone's endpoints are to get nothing new.
-    :ivar lag: how late the agent acts on orders, in seconds, as last told.
-    :ivar free: room as last told, less what is on its way there. Read for every agent
-        at every choice, far oftener than it changes.
+    """The state of a connected agent as known to one entry.
+
+    :ivar link: the stream to the agent.
+    :ivar opened_at: time at which the stream was opened.
+    :ivar health: the endpoint's record; it outlives the stream.
+    :ivar news: the endpoint's state as last announced by the agent, if any.
+    :ivar capacity: all resources of the endpoint.
+    :ivar tasks: tasks of this entry with a run at the agent, by name.
+    :ivar parked_by_others: runs of other entries that are parked at the agent.
+    :ivar evacuated: whether its zone is evacuated, so that it gets no new runs.
+    :ivar slowness: factor by which runs take longer than predicted, as last reported.
+    :ivar lag: how late the agent acts on orders, in seconds, as last reported.
+    :ivar own_parked: runs of this entry that are parked at the agent.
+    :ivar free: free resources as last reported, less the starts that the report doesn't
+        include yet. Stored instead of computed, because every placement reads it for
+        every agent, much more often than it changes.
     """
 
     def __init__(
@@ -64,84 +75,87 @@
         self.lag = 0.0
         self.own_parked = 0
         self.free = Resources()
-        self._room = Resources()
+        self._reported_free = Resources()
         self._sent = 0
-        self._unseen: deque[Resources] = deque()
-        self._unseen_sum = Resources()
+        self._unacknowledged: deque[Resources] = deque()
+        self._unacknowledged_sum = Resources()
 
     @property
     def accepts_runs(self) -> bool:
-        """Whether the agent takes new runs."""
+        """Whether the agent accepts new runs."""
         return self.news is not None and self.news.open and not self.evacuated
 
     @property
     def cold(self) -> bool:
-        """Whether runs take longer here for a while after the endpoint's start."""
+        """Whether the endpoint started recently and its runs still take longer."""
         return self.news is not None and self.news.cold
 
-    def can_run(self, rules: StepSpec) -> bool:
-        """Tell whether a step's task would fit here if nothing else were here."""
-        labelled = not rules.label or rules.label in self.labels
-        return labelled and rules.needs.fits(self.capacity)
+    def can_run(self, step_spec: StepSpec) -> bool:
+        """Return whether a step's task would fit the endpoint if it were idle."""
+        has_label = not step_spec.label or step_spec.label in self.labels
+        return has_label and step_spec.needs.fits(self.capacity)
 
     @property
     def service(self) -> str:
-        """Service of the endpoint; empty while none has reported."""
+        """Service of the endpoint; empty until one has reported."""
         return self.news.service if self.news else ""
 
     @property
     def slowdown_factor(self) -> float:
-        """How many times as long as elsewhere runs take here.
+        """Factor by which runs take longer here than at an ordinary endpoint.
 
-        The agent tells it at once, results of runs tell it when they come.
+        The agent's reports show a slow endpoint at once, run times only once runs end.
         """
         return max(self.health.slowdown_factor(), self.slowness)
 
     def update_endpoint(self, news: EndpointNews) -> None:
-        """Note what stands behind the agent."""
+        """Record the announced state of the agent's endpoint."""
         self.news = news
         self.capacity = Resources(news.cpu, news.memory, news.gpu)
         self.labels = frozenset(news.labels)
 
     def update_free_capacity(self, room: Room) -> None:
-        """Note the agent's room and which starts it has counted in."""
-        self._room = Resources(room.cpu, room.memory, room.gpu)
+        """Record the reported free resources and which starts they include already."""
+        self._reported_free = Resources(room.cpu, room.memory, room.gpu)
         self.parked_by_others = max(0, room.parked - self.own_parked)
-        while len(self._unseen) > self._sent - room.seen:
-            self._unseen_sum -= self._unseen.popleft()
-        self.free = self._room - self._unseen_sum
+        while len(self._unacknowledged) > self._sent - room.seen:
+            self._unacknowledged_sum -= self._unacknowledged.popleft()
+        self.free = self._reported_free - self._unacknowledged_sum
 
     def add_run(self, task: Task, now: float) -> None:
-        """Count a run that is in flight here; the agent must prove its life."""
+        """Record a run in flight.
+
+        While there is one, the agent must send heartbeats more often.
+        """
         if not self.tasks:
             self.link.busy_since = now
         self.tasks[task.name] = task
 
     def record_start(self, task: Task, parked: bool, now: float) -> None:
-        """Count a start that is sent now."""
+        """Record a start order that is sent now, and reserve its resources."""
         self.add_run(task, now)
         self._sent += 1
-        self._unseen.append(task.step_spec.needs)
-        self._unseen_sum += task.step_spec.needs
-        self.free = self._room - self._unseen_sum
+        self._unacknowledged.append(task.step_spec.needs)
+        self._unacknowledged_sum += task.step_spec.needs
+        self.free = self._reported_free - self._unacknowledged_sum
         task.parked = parked
         self.own_parked += parked
 
     def mark_begun(self, task: Task) -> None:
-        """Note that a parked run has room now."""
+        """Record that a run is not parked any more."""
         if task.parked:
             task.parked = False
             self.own_parked -= 1
 
     def remove_run(self, task: Task) -> None:
-        """Note that a run is over."""
+        """Record that a run is over."""
         self.mark_begun(task)
         self.tasks.pop(task.name, None)
         if not self.tasks:
             self.link.busy_since = math.inf
 
     def count_runs_of_step(self, task: Task) -> int:
-        """Count the runs of a task's step here."""
+        """Count the runs here that belong to the same step as a task."""
         return sum(
             other.job is task.job and other.step == task.step
             for other in self.tasks.values()
@@ -149,68 +163,74 @@
 
 
 class Fleet:
-    """All agents, by stream; health outlives a stream.
+    """All agents that the entry is connected to.
+
+    The health of an endpoint is kept while its agent is disconnected.
 
-    :param arrival_seconds: within which a new agent may still hear of its endpoint.
+    :param arrival_seconds: seconds within which a new agent learns of its endpoint.
+    :ivar views: the connected agents, by stream.
     """
 
     def __init__(self, arrival_seconds: float) -> None:
         self._arrival_seconds = arrival_seconds
         self.views: dict[int, AgentView] = {}
         self._by_address: dict[str, AgentView] = {}
-        self._open: dict[str, list[AgentView]] = {}
+        self._accepting: dict[str, list[AgentView]] = {}
         self._capacity: dict[str, CachedCapacity] = {}
         self._health: dict[str, EndpointHealth] = {}
-        self._missing: dict[str, float] = {}
+        self._lost_at: dict[str, float] = {}
         self.has_evacuated_zones = False
         """Whether any zone is evacuated."""
 
     def add(self, link: Link, now: float) -> AgentView:
-        """Note an agent's new stream."""
+        """Record an agent's new stream."""
         health = self._health.setdefault(link.hello.address, EndpointHealth())
         view = self.views[link.stream] = AgentView(link, health, now)
         self._by_address[view.address] = view
-        self._missing.pop(view.address, None)
-        self._open.clear()
+        self._lost_at.pop(view.address, None)
+        self._accepting.clear()
         return view
 
     def has_lost_agents(self, now: float) -> bool:
-        """Tell whether an agent that was here lately can't be reached."""
-        lately = now - LOST_AGENT_SECONDS
-        self._missing = {each: at for each, at in self._missing.items() if at > lately}
-        return bool(self._missing)
+        """Return whether an agent was lost recently and hasn't reconnected."""
+        cutoff = now - LOST_AGENT_SECONDS
+        self._lost_at = {each: at for each, at in self._lost_at.items() if at > cutoff}
+        return bool(self._lost_at)
 
     def remove(self, view: AgentView, now: float) -> None:
-        """Forget an agent's stream."""
-        self._missing[view.address] = now
+        """Remove an agent whose stream was lost."""
+        self._lost_at[view.address] = now
         self.views.pop(view.stream, None)
-        self._open.clear()
+        self._accepting.clear()
         self._capacity.clear()
         if self._by_address.get(view.address) is view:
             del self._by_address[view.address]
 
     def update_endpoint(self, view: AgentView, news: EndpointNews) -> None:
-        """Note what stands behind an agent."""
+        """Record the announced state of an agent's endpoint."""
         view.update_endpoint(news)
-        self._open.clear()
+        self._accepting.clear()
         self._capacity.clear()
 
     def list_accepting_agents(self, service: str) -> list[AgentView]:
-        """List the agents that take runs of a service."""
-        found = self._open.get(service)
-        if found is None:
-            found = self._open[service] = [
+        """List the agents that accept runs of a service."""
+        views = self._accepting.get(service)
+        if views is None:
+            views = self._accepting[service] = [
                 view
                 for view in self.views.values()
                 if view.accepts_runs and view.service == service
             ]
-        return found
+        return views
 
     def evacuate(self, zones: frozenset[str], changed: frozenset[str]) -> None:
-        """Offer nothing in evacuated zones.
+        """Exclude the agents of evacuated zones from placement.
 
-        What was learnt of endpoints before their zone was evacuated or taken back is
-        no longer true: they may have been started anew meanwhile.
+        Health and slowness of the endpoints in changed zones are reset, because the
+        endpoints may have been restarted in the meantime.
+
+        :param zones: the zones that are evacuated now.
+        :param changed: the zones that were evacuated or opened again by this change.
         """
         self.has_evacuated_zones = bool(zones)
         for view in self.views.values():
@@ -218,29 +238,31 @@
             if view.zone in changed:
                 view.health.clear()
                 view.slowness = 1.0
-        self._open.clear()
+        self._accepting.clear()
         self._capacity.clear()
 
-    def fits_any_agent(self, service: str, rules: StepSpec) -> bool:
-        """Tell whether any endpoint that takes runs is large enough for a task."""
-        return any(view.can_run(rules) for view in self.list_accepting_agents(service))
+    def fits_any_agent(self, service: str, step_spec: StepSpec) -> bool:
+        """Return whether any endpoint that accepts runs is large enough for a task."""
+        return any(
+            view.can_run(step_spec) for view in self.list_accepting_agents(service)
+        )
 
-    def fits_evacuated_agent(self, service: str, rules: StepSpec) -> bool:
-        """Tell whether a task would have a place if no zone were evacuated."""
+    def fits_evacuated_agent(self, service: str, step_spec: StepSpec) -> bool:
+        """Return whether a task would fit an endpoint in an evacuated zone."""
         return any(
-            view.evacuated and view.service == service and view.can_run(rules)
+            view.evacuated and view.service == service and view.can_run(step_spec)
             for view in self.views.values()
         )
 
     @property
     def has_accepting_agent(self) -> bool:
-        """Whether any agent takes runs."""
+        """Whether any agent accepts runs."""
         return any(view.accepts_runs for view in self.views.values())
 
     def awaits_endpoint(self, now: float) -> bool:
-        """Tell whether a new agent doesn't know its endpoint yet.
+        """Return whether a new agent hasn't learnt of its endpoint yet.
 
-        An agent without an endpoint for longer has none; its room won't come.
+        An agent that has none for longer than the arrival time has no endpoint.
         """
         return any(
             now - view.opened_at < self._arrival_seconds
@@ -250,19 +272,19 @@
         )
 
     def find(self, address: str) -> AgentView | None:
-        """Find the agent with an address."""
+        """Return the agent with an address, if it is connected."""
         return self._by_address.get(address)
 
     def measure_capacity(self, service: str, now: float) -> float:
-        """Tell the cores of all endpoints that take runs of a service.
+        """Return the total cores of all endpoints that accept runs of a service.
 
-        One that is slow counts for as much less.
+        The cores of a slow endpoint are divided by its slowdown factor.
         """
-        known = self._capacity.get(service)
-        if known is None or now - known.at > CAPACITY_CACHE_SECONDS:
+        cached = self._capacity.get(service)
+        if cached is None or now - cached.at > CAPACITY_CACHE_SECONDS:
             views = self.list_accepting_agents(service)
             cores = (
                 sum(view.capacity.cpu / view.slowdown_factor for view in views) / 1000
             )
-            known = self._capacity[service] = CachedCapacity(cores, now)
-        return known.cores
+            cached = self._capacity[service] = CachedCapacity(cores, now)
+        return cached.cores
--- a/src/godwitbank/_internal/core/runs/health.py
+++ b/src/godwitbank/_internal/core/runs/health.py
@@ -1,29 +1,35 @@
-"""How well one endpoint serves: its speed, and whether it fails what it starts."""
+"""Health of one endpoint: its speed and its failure rate."""
 
 import math
 
 SLOWNESS_WEIGHT = 0.12
-"""Weight of the newest run in an endpoint's slowness; about eight runs count."""
+"""Weight of the newest run in an endpoint's slowdown; averages about eight runs."""
 
 FAILURE_WEIGHT = 0.3
 """Weight of the newest run in an endpoint's failure share."""
 
 EJECTION_FAILURE_SHARE = 0.6
-"""Failure share above which an endpoint gets no work: three failures in a row
-from a clean record, which sound ones (0.2 % of runs fail) practically never
-reach, and a job that can never run doesn't reach alone."""
+"""Failure share from which an endpoint is ejected: three consecutive failures from a
+clean record. Healthy endpoints, where 0.2 % of runs fail, practically never reach it,
+and neither does a single job that can never succeed."""
 
 FIRST_EJECTION_SECONDS = 1.5
-"""Seconds of the first ejection; doubled with each further one in a row."""
+"""Seconds of the first ejection; doubled with each consecutive one."""
 
 MAX_EJECTION_SECONDS = 6.0
 
 MAX_PROBE_RUNS = 1
-"""Runs at once that an endpoint gets after an ejection until one is done."""
+"""Concurrent runs that an ejected endpoint gets afterwards until one succeeds."""
 
 
 class EndpointHealth:
-    """One endpoint's record at one entry."""
+    """Run times and failures of one endpoint as seen by one entry.
+
+    :ivar log_slowdown: moving average of the logarithm of actual by predicted run time.
+    :ivar failure_share: moving average of the share of runs that failed.
+    :ivar ejected_until: time until which the endpoint gets no runs.
+    :ivar probing: whether it was ejected and no run has succeeded since.
+    """
 
     def __init__(self) -> None:
         self.log_slowdown = 0.0
@@ -35,29 +41,34 @@
         self._last_job = ""
 
     def slowdown_factor(self) -> float:
-        """Tell by what factor runs take longer here than elsewhere."""
+        """Return the factor by which runs take longer here than predicted."""
         return self._factor
 
     def record_success(self, elapsed: float, expected: float) -> None:
-        """Note a run that was done, with its run time in seconds."""
+        """Record a run that succeeded.
+
+        :param elapsed: run time, in seconds.
+        :param expected: predicted run time, in seconds.
+        """
         ratio = math.log(max(elapsed, 1e-3) / max(expected, 1e-3))
         self.log_slowdown += SLOWNESS_WEIGHT * (ratio - self.log_slowdown)
-        # Read for every agent at every choice, far oftener than runs end.
+        # Cached, because every placement reads it for every agent.
         self._factor = math.exp(self.log_slowdown)
         self.failure_share *= 1 - FAILURE_WEIGHT
         self._ejections = 0
         self.probing = False
 
     def record_failure(self, job: str, now: float) -> bool:
-        """Note a run that failed or stood still.
+        """Record a run that failed or stalled.
 
-        A job that can never be done fails everywhere; only the first of its
-        failures in a row counts here, or it would eject sound endpoints.
+        A job that can never succeed fails everywhere. Only the first of its consecutive
+        failures counts here, otherwise it would eject healthy endpoints.
 
-        :return: whether the endpoint is ejected by it.
+        :return: whether this failure ejects the endpoint.
         """
         if now < self.ejected_until:
-            # Runs sent before; they say nothing about how it is afterwards.
+            # The run was sent before the ejection and says nothing about the
+            # endpoint's health afterwards.
             return False
         if job == self._last_job and not self.probing:
             return False
@@ -72,11 +83,14 @@
         return True
 
     def clear(self) -> None:
-        """Forget the record; another boot may be of another kind."""
+        """Reset the record; a restarted endpoint may be of another kind."""
         self.__init__()  # type: ignore[misc]
 
     def allows_run(self, runs: int, now: float) -> bool:
-        """Tell whether another run may be sent beside ``runs`` at work."""
+        """Return whether one more run may be sent.
+
+        :param runs: number of runs of this entry at the endpoint.
+        """
         if now < self.ejected_until:
             return False
         return not self.probing or runs < MAX_PROBE_RUNS
--- a/src/godwitbank/_internal/core/runs/intake.py
+++ b/src/godwitbank/_internal/core/runs/intake.py
@@ -1,4 +1,4 @@
-"""Which jobs an entry takes, which it hands on, and who waits for them."""
+"""Intake of jobs: accepts, forwards or refuses them, and tracks their callers."""
 
 from collections.abc import Callable, Iterable
 
@@ -30,7 +30,7 @@
 
 
 class Intake:
-    """Decides what becomes of each job that a caller or another entry hands in."""
+    """Decides what happens to each job submitted by a caller or another entry."""
 
     def __init__(
         self,
@@ -49,28 +49,32 @@
         self._counts = counts
         self._adoption = Adoption()
         self._now = 0.0
-        self._out: Callable[[RunAction], None] = lambda action: None
+        self._emit: Callable[[RunAction], None] = lambda action: None
 
-    def begin_event(self, now: float, out: Callable[[RunAction], None]) -> None:
-        """Prepare for one event."""
+    def begin_event(self, now: float, emit: Callable[[RunAction], None]) -> None:
+        """Prepare for one event.
+
+        :param now: time of the event, in seconds.
+        :param emit: receives the actions to carry out.
+        """
         self._now = now
-        self._out = out
-        self._forwarding.begin(now, out)
+        self._emit = emit
+        self._forwarding.begin(now, emit)
 
     @property
     def busy(self) -> bool:
         """Whether a job is in flight here, or at another entry for this one."""
-        here = bool(self._dispatcher.jobs) or self._handover.busy
-        return here or self._forwarding.busy
+        busy_here = bool(self._dispatcher.jobs) or self._handover.busy
+        return busy_here or self._forwarding.busy
 
     def has_job(self, job: str) -> bool:
         """Tell whether a job is in flight here, or at another entry for this one."""
         return job in self._dispatcher.jobs or self._forwarding.has(job)
 
     def submit(self, event: JobSubmitted, acquired: bool = False) -> None:
-        """Take a job, hand it on, or refuse it.
+        """Accept a job, forward it to another entry, or refuse it.
 
-        :param acquired: whether this entry may start it already.
+        :param acquired: whether this entry already has the right to start the job.
         """
         spec = event.spec
         queue = self._routes.get(spec.queue)
@@ -79,12 +83,12 @@
             return
         if self._join(event):
             return
-        adopted = self._adoption.is_adopted(event.caller)
-        if not adopted and self._forwarding.try_forward(event):
+        is_remote = self._adoption.is_adopted(event.caller)
+        if not is_remote and self._forwarding.try_forward(event):
             return
         if self._pressure.behind:
-            # Taken now it would be late, and make all others later, until the entry
-            # works for callers that have left.
+            # The event loop is overloaded. Another job would be late and delay all
+            # others, until the entry serves only callers that have disconnected.
             self._refuse(event, "no_processor")
             return
         job = Job(spec, queue, event.caller, self._now, event.patience)
@@ -94,7 +98,10 @@
             self._handover.submit(job)
 
     def _join(self, event: JobSubmitted) -> bool:
-        """Let a caller whose first connection broke wait for what was taken then."""
+        """Attach a caller to its job if that is in flight already.
+
+        A caller whose connection broke submits its job again.
+        """
         name = event.spec.job
         if self._forwarding.join(event):
             return True
@@ -102,7 +109,7 @@
         if known is None:
             return False
         self._counts.add("jobs_joined")
-        self._out(Note("job_joined", name, {}))
+        self._emit(Note("job_joined", name, {}))
         known.callers.append(event.caller)
         known.deadline = max(known.deadline, self._now + event.patience)
         return True
@@ -117,12 +124,12 @@
         self._counts.add("jobs_refused", reason)
         job = event.spec.job
         lag = round(self._pressure.lag, 3)
-        self._out(Note("job_refused", job, {"reason": reason, "lag": lag}))
+        self._emit(Note("job_refused", job, {"reason": reason, "lag": lag}))
         result = JobResult(job, JobEnd.REFUSED, reason, False, RETRY_AFTER_SECONDS)
-        self._out(Answer(event.caller, result))
+        self._emit(Answer(event.caller, result))
 
     def handle_caller_loss(self, event: CallerGone) -> None:
-        """Give up what only a caller who is gone waits for."""
+        """Give up the jobs for which only a disconnected caller waits."""
         self._forwarding.lose_caller(event.caller)
         self._handover.lose_caller(event.caller)
         for job in list(self._dispatcher.jobs.values()):
@@ -133,18 +140,18 @@
                 self._dispatcher.give_up(job, "caller_gone")
 
     def cancel(self, event: JobCancelled) -> None:
-        """Give up a job at its caller's wish."""
+        """Give up a job that its caller cancelled."""
         self._forwarding.withdraw(event.job, "cancelled")
         job = self._dispatcher.jobs.get(event.job)
         if job is not None:
             self._dispatcher.give_up(job, "cancelled")
 
     def handle_forward(self, link: Link, message: Forward) -> None:
-        """Take a job of another entry's caller."""
+        """Handle a job that another entry forwarded."""
         self.submit(self._adoption.adopt(link.stream, message), message.acquired)
 
     def handle_join(self, link: Link, message: Join) -> None:
-        """Let a caller of another entry wait for a job, if it is here."""
+        """Attach a caller of another entry to a job, if the job is here."""
         name = message.job
         known = self._find_known(name)
         if known is not None:
@@ -157,21 +164,25 @@
             self._handover.hear_join(link, name)
 
     def handle_yielded(self, link: Link, message: Yielded) -> None:
-        """Go on with a job that another entry doesn't have, or no longer."""
+        """Proceed with a job that another entry doesn't have, or has given up."""
         self._handover.hear_yielded(link, message)
         self._forwarding.hear_yielded(link.stream, message.job)
 
     def handle_withdraw(self, link: Link, message: Withdraw) -> None:
-        """Give up a job that another entry's caller no longer waits for."""
-        for gone in self._adoption.withdraw(link.stream, message.job):
-            self.handle_caller_loss(gone)
+        """Give up a job for which another entry's callers no longer wait."""
+        for caller_gone in self._adoption.withdraw(link.stream, message.job):
+            self.handle_caller_loss(caller_gone)
 
     def handle_stream_loss(self, stream: int) -> None:
-        """Note that a stream to another entry ended, in both roles."""
+        """Handle the loss of the stream to another entry.
+
+        This covers the jobs that were forwarded to the other entry and those that it
+        forwarded here.
+        """
         self._forwarding.lose_stream(stream)
-        for gone in self._adoption.drop_stream(stream):
-            self.handle_caller_loss(gone)
+        for caller_gone in self._adoption.drop_stream(stream):
+            self.handle_caller_loss(caller_gone)
 
     def route_answers(self, actions: Iterable[RunAction]) -> list[RunAction]:
-        """Turn answers to callers of other entries into messages."""
+        """Replace answers to other entries' callers by messages to those entries."""
         return self._adoption.route(actions)
--- a/src/godwitbank/_internal/core/runs/jobs.py
+++ b/src/godwitbank/_internal/core/runs/jobs.py
@@ -1,4 +1,4 @@
-"""Jobs of leased runs in flight at one entry."""
+"""Jobs in flight at one entry, and the tasks they consist of."""
 
 from enum import Enum, auto
 
@@ -6,9 +6,13 @@
 
 
 class TaskState(Enum):
-    """Where a task stands.
+    """State of a task at its entry.
 
-    ``ORPHANED``: its agent can't be reached; the run there may still be alive.
+    - ``BLOCKED``: an earlier step of the job isn't done.
+    - ``WAITING``: queued for an agent with free capacity.
+    - ``SENT``: a start order for the current run was sent to an agent.
+    - ``ORPHANED``: the agent can't be reached; the run there may still be alive.
+    - ``DONE``: no run of it is alive and none will be started.
     """
 
     BLOCKED = auto()
@@ -19,7 +23,21 @@
 
 
 class Task:
-    """One task of a job in flight."""
+    """One task of a job in flight.
+
+    :ivar step: index of the task's step in the job.
+    :ivar run: number of the current run, or of the last one.
+    :ivar failures: runs that failed so far.
+    :ivar agent: address of the agent that has the run; empty while there is none.
+    :ivar avoid: addresses of agents to use only if no other has free capacity.
+    :ivar checkpoint: last checkpoint that a run reported, passed on to the next run.
+    :ivar expected: predicted run time, in seconds.
+    :ivar parked: whether the run waits at its agent for free capacity.
+    :ivar lapses_at: time at which an orphaned run has certainly lost its lease.
+    :ivar sent_at: time at which the current run was sent.
+    :ivar moves: times a run was moved because its endpoint was slow.
+    :ivar passed_over: tasks placed while this one, ahead of them, found no agent.
+    """
 
     __slots__ = (
         "job",
@@ -58,19 +76,31 @@
 
     @property
     def step_spec(self) -> StepSpec:
-        """What was submitted for the task's step."""
+        """The submitted specification of the task's step."""
         return self.job.spec.steps[self.step]
 
     @property
     def core_seconds(self) -> float:
-        """Expected core-seconds of the task."""
+        """Expected processor time of the task, in core-seconds."""
         return self.expected * self.step_spec.needs.cpu / 1000
 
 
 class Job:
-    """A job in flight and who waits for it.
-
-    :ivar contested: whether agents must be asked first to stop others' runs of it.
+    """A job in flight and the callers that wait for it.
+
+    :ivar callers: request numbers of the callers; negative for the callers of other
+        entries.
+    :ivar arrival: time at which the job was submitted here.
+    :ivar deadline: time until which the callers wait.
+    :ivar objective: seconds from arrival in which the job should be done.
+    :ivar rank: latest time to start the job so that it meets its objective.
+    :ivar tasks: the tasks of each step.
+    :ivar tasks_left: number of tasks not done yet, for each step.
+    :ivar ran: whether any run of it was ever sent.
+    :ivar ending: whether its result is out; runs of it may still be alive.
+    :ivar contested: whether agents must first be asked to stop other entries' runs of
+        it.
+    :ivar ended: whether its result is out and no run of it can be alive.
     """
 
     __slots__ = (
@@ -90,13 +120,18 @@
     )
 
     def __init__(
-        self, spec: JobSpec, queue: QueueRules, caller: int, now: float, patience: float
+        self,
+        spec: JobSpec,
+        queue: QueueRules,
+        caller: int,
+        now: float,
+        timeout_seconds: float,
     ) -> None:
         self.spec = spec
         self.queue = queue
         self.callers = [caller]
         self.arrival = now
-        self.deadline = now + patience
+        self.deadline = now + timeout_seconds
         self.objective = 0.0
         self.rank = 0.0
         self.tasks: list[list[Task]] = []
@@ -107,38 +142,38 @@
         self.ended = False
 
     def create_tasks(self, expected: list[float]) -> None:
-        """Make the tasks, and set when they should start at the latest.
+        """Create the tasks, and compute the job's objective and rank.
 
-        :param expected: seconds expected of a run, for each step.
+        :param expected: predicted run time for each step, in seconds.
         """
         for position, step in enumerate(self.spec.steps):
             seconds = expected[position]
             self.tasks.append(
                 [Task(self, position, index, seconds) for index in range(step.width)]
             )
-        chain = self._measure_chain(expected)
-        self.objective = self.queue.stretch * chain + self.queue.allowance
-        self.rank = self.arrival + max(0.0, self.objective - chain)
+        critical_path = self._measure_critical_path(expected)
+        self.objective = self.queue.stretch * critical_path + self.queue.allowance
+        self.rank = self.arrival + max(0.0, self.objective - critical_path)
 
-    def _measure_chain(self, expected: list[float]) -> float:
+    def _measure_critical_path(self, expected: list[float]) -> float:
         ends: list[float] = []
         for position, step in enumerate(self.spec.steps):
-            before = max((ends[each] for each in step.after), default=0.0)
-            ends.append(before + expected[position])
+            start = max((ends[each] for each in step.after), default=0.0)
+            ends.append(start + expected[position])
         return max(ends)
 
     @property
     def has_remote_caller(self) -> bool:
-        """Whether its caller came to another entry; such callers are below zero."""
+        """Whether a caller of another entry waits; those have negative numbers."""
         return any(caller < 0 for caller in self.callers)
 
     @property
     def core_seconds(self) -> float:
-        """Expected core-seconds of the whole job."""
+        """Expected processor time of the whole job, in core-seconds."""
         return sum(task.core_seconds for step in self.tasks for task in step)
 
     def list_ready_tasks(self) -> list[Task]:
-        """List the blocked tasks whose earlier steps are done."""
+        """List the blocked tasks of which all preceding steps are done."""
         ready = []
         for position, step in enumerate(self.spec.steps):
             if any(self.tasks_left[each] for each in step.after):
@@ -149,6 +184,6 @@
         return ready
 
     def list_active_tasks(self) -> list[Task]:
-        """List the tasks of which a run may be alive."""
+        """List the tasks that may have a live run."""
         alive = (TaskState.SENT, TaskState.ORPHANED)
         return [task for step in self.tasks for task in step if task.state in alive]
--- a/src/godwitbank/_internal/core/runs/policy.py
+++ b/src/godwitbank/_internal/core/runs/policy.py
@@ -1,47 +1,48 @@
-"""Which mechanisms the cores use, so that each can be tried without the others.
+"""Switches for the optional mechanisms of the cores.
 
-Operators don't set this: what is on by default is what measured best. The decision lab
-(``bench/lab``) switches mechanisms off one by one to tell what each is worth.
+Each mechanism can be disabled without affecting the others. Operators don't set these
+switches: the defaults are the combination that measured best. The benchmark lab
+(``bench/lab``) disables mechanisms one at a time to measure what each contributes.
 """
 
 from typing import NamedTuple
 
 
 class Policy(NamedTuple):
-    """The mechanisms, each on by default."""
+    """The mechanisms, each enabled by default."""
 
     moves: bool = True
     """Move runs off slow endpoints."""
 
     ejection: bool = True
-    """Give no work to endpoints that fail what they start."""
+    """Send no work to endpoints whose runs keep failing."""
 
     parking: bool = True
-    """Let a task that smaller ones have passed wait at one agent for room."""
+    """Park a task at one agent until it fits there, once smaller ones overtook it."""
 
     late_last: bool = True
-    """Let late work wait behind all timely work."""
+    """Schedule late tasks after all tasks that are still on time."""
 
     mended_estimates: bool = True
-    """Mend callers' guesses by the run times that were observed."""
+    """Correct the callers' run time estimates by the observed run times."""
 
     fullness: bool = True
-    """Prefer emptier endpoints, as other entries place at the same moment."""
+    """Prefer less loaded endpoints, because other entries place tasks concurrently."""
 
     wait_for_brisk: bool = True
-    """Let a task wait where a slow endpoint has room but would end it too late."""
+    """Keep a task waiting if only slow endpoints are free and would finish it late."""
 
     slow_last: bool = True
-    """Use slow endpoints only when no other has room, now or soon."""
+    """Use slow endpoints only when no other has capacity, now or soon."""
 
     arrival_bound: bool = True
-    """While no endpoint is there, take only jobs that can wait for one."""
+    """While no endpoint is available, accept only jobs that can wait for one."""
 
     small_first: bool = True
-    """Let less wait before a large job of a queue than before a small one."""
+    """Allow a shorter backlog ahead of a queue's large jobs than of its small ones."""
 
     drain_bound: bool = True
-    """Refuse while more waits than drains in ``MAX_DRAIN_SECONDS``."""
+    """Refuse jobs while the backlog takes over ``MAX_DRAIN_SECONDS`` to drain."""
 
 
 DEFAULT_POLICY = Policy()
--- a/src/godwitbank/_internal/core/runs/progress.py
+++ b/src/godwitbank/_internal/core/runs/progress.py
@@ -1,4 +1,4 @@
-"""How fast runs get on at an endpoint, and which would end sooner elsewhere."""
+"""Progress of runs: stalled runs, slow endpoints, and runs worth moving."""
 
 import math
 from collections import defaultdict
@@ -7,69 +7,83 @@
 from typing import NamedTuple
 
 STALL_SECONDS = 0.5
-"""Seconds without progress after which a run counts as standing still.
+"""Seconds without progress after which a run may count as stalled.
 
-Progress is told in whole percent with every renewal (0.12 s apart); a run of some
-seconds moves several times in this span.
+Progress is reported in whole percent with each lease renewal, every 0.12 s. A run that
+takes a few seconds in all advances several times within this span.
 """
 
 STALL_EXPECTED_PERCENT = 10.0
-"""Expected seconds for one percent of progress that must have passed, too."""
+"""Percent of the predicted run time that is added to ``STALL_SECONDS``."""
 
 RATE_WINDOW_SECONDS = 0.25
-"""Seconds over which a rate is taken: two renewals. Shorter ones are blurred by the
-whole percents, longer ones notice a slow endpoint late."""
+"""Seconds over which a progress rate is measured: two renewals. Over shorter windows
+the rounding to whole percent distorts the rate; longer ones detect a slow endpoint
+late."""
 
 MIN_SAMPLED_JOBS = 3
-"""Jobs whose runs it takes to call an endpoint slow. What is expected of one job is
-wrong by 40 % and more, for all its runs alike; the median of three is rarely wrong by
-``SLOW_FACTOR``."""
+"""Jobs that must have runs at an endpoint before it can be found slow. The run time
+predicted for a single job is wrong by 40 % and more, alike for all its runs; the median
+over three jobs is rarely wrong by ``SLOW_FACTOR``."""
 
 SLOWNESS_DECAY_SECONDS = 2.0
-"""Seconds in which a slowness that nothing confirms fades to a third. An endpoint that
-is forgotten at once gets new work after each move, which is then late; one that is
-remembered for long stays idle after it is well."""
+"""Seconds in which a slowness that no run confirms decays to about a third. If it was
+dropped at once, a slow endpoint would get new runs after each move, and they would be
+late. If it was kept for long, an endpoint would stay idle after it has recovered."""
 
 SLOW_FACTOR = 2.0
-"""Slowness from which runs are moved; above what sound kinds of endpoint differ by."""
+"""Slowness from which runs are moved. Healthy kinds of endpoints differ by less."""
 
 MOVE_COST_SECONDS = 0.2
-"""Seconds a move costs: until the run has stopped, the way to another agent, and some
+"""Estimated cost of a move in seconds: stopping the run, reaching the other agent, and
 waiting there."""
 
 
 class RunProgress:
-    """How far one run is, as told by renewals."""
+    """Progress of one run, as reported by lease renewals.
 
-    __slots__ = ("percent", "last_progress_at", "rate", "_mark", "_mark_at", "_told_at")
+    :ivar percent: last reported progress.
+    :ivar last_progress_at: time at which the progress last changed.
+    """
+
+    __slots__ = (
+        "percent",
+        "last_progress_at",
+        "rate",
+        "_window_percent",
+        "_window_start",
+        "_reported_at",
+    )
 
     def __init__(self, now: float) -> None:
         self.percent = 0
         self.last_progress_at = now
         self.rate: float | None = None
-        """Share of the whole run done in a second; ``None`` before it is known."""
-        self._mark = 0
-        self._mark_at = now
-        self._told_at = -math.inf
+        """Share of the whole run that is done per second; ``None`` until measured."""
+        self._window_percent = 0
+        self._window_start = now
+        self._reported_at = -math.inf
 
     def restart(self, now: float) -> None:
-        """Count from now: the run is ordered at the endpoint."""
-        self.last_progress_at = self._mark_at = now
+        """Restart the measurement when the run is ordered at the endpoint."""
+        self.last_progress_at = self._window_start = now
 
     def update(self, percent: int, now: float) -> None:
-        """Note what a renewal told."""
+        """Record the progress reported by a renewal."""
         if percent != self.percent:
             self.percent = percent
             self.last_progress_at = now
-        if now - self._mark_at >= RATE_WINDOW_SECONDS:
-            self.rate = (percent - self._mark) / 100 / (now - self._mark_at)
-            self._mark = percent
-            self._mark_at = now
+        if now - self._window_start >= RATE_WINDOW_SECONDS:
+            self.rate = (
+                (percent - self._window_percent) / 100 / (now - self._window_start)
+            )
+            self._window_percent = percent
+            self._window_start = now
 
     def is_stalled(self, expected: float, now: float) -> bool:
-        """Tell whether a run stands still.
+        """Return whether the run has stalled.
 
-        :param expected: run time expected, in seconds.
+        :param expected: predicted run time, in seconds.
         """
         return (
             now - self.last_progress_at
@@ -77,25 +91,29 @@
         )
 
     def should_report_slow(self, slowness: float, now: float) -> bool:
-        """Tell whether a run is to be offered for a move, once in a window.
+        """Return whether to report the run as slow, at most once in a window.
+
+        Its entry may then move it to another agent.
 
-        :param slowness: how many times as long runs take at this endpoint.
+        :param slowness: factor by which runs take longer at this endpoint.
         """
-        if now - self._told_at < RATE_WINDOW_SECONDS or not self._is_slow(slowness):
+        if now - self._reported_at < RATE_WINDOW_SECONDS or not self._is_worth_moving(
+            slowness
+        ):
             return False
-        self._told_at = now
+        self._reported_at = now
         return True
 
-    def _is_slow(self, slowness: float) -> bool:
+    def _is_worth_moving(self, slowness: float) -> bool:
         if not self.rate or slowness < SLOW_FACTOR:
             return False
-        left_here = (1 - self.percent / 100) / self.rate
-        anew_elsewhere = 1 / self.rate / slowness
-        return left_here > anew_elsewhere + MOVE_COST_SECONDS
+        seconds_here = (1 - self.percent / 100) / self.rate
+        seconds_elsewhere = 1 / self.rate / slowness
+        return seconds_here > seconds_elsewhere + MOVE_COST_SECONDS
 
 
 class ProgressSample(NamedTuple):
-    """One run's progress and what was expected of it."""
+    """Progress of one run, with the job it belongs to and its predicted run time."""
 
     job: str
     progress: RunProgress
@@ -103,10 +121,10 @@
 
 
 class Slowness:
-    """How many times as long runs take at one endpoint as was expected of them.
+    """Factor by which runs at one endpoint take longer than predicted.
 
-    The endpoint alone shows it at once: results of slow runs come late, and entries
-    that wait for them go on sending it work.
+    It is measured by the progress of current runs at the endpoint's agent. The results
+    of slow runs come late, and entries that relied on them would keep sending runs.
     """
 
     def __init__(self, now: float) -> None:
@@ -114,24 +132,25 @@
         self._measured_at = now
 
     def update(self, samples: Iterable[ProgressSample], now: float) -> None:
-        """Note the progress of what runs there."""
+        """Update the slowness from the progress of the current runs."""
         ratios: dict[str, list[float]] = defaultdict(list)
         for job, progress, expected in samples:
             if progress.rate:
                 ratios[job].append(1 / progress.rate / max(expected, 1e-3))
-        # A single run shows that a slow endpoint is well again: few are sent there.
-        enough = MIN_SAMPLED_JOBS if self._measured < SLOW_FACTOR else 1
-        if len(ratios) >= enough:
+        # A slow endpoint gets few runs, so a single job is enough to show that it has
+        # recovered.
+        min_jobs = MIN_SAMPLED_JOBS if self._measured < SLOW_FACTOR else 1
+        if len(ratios) >= min_jobs:
             self._measured = median(median(each) for each in ratios.values())
             self._measured_at = now
 
     def estimate(self, now: float) -> float:
-        """Tell the slowness; 1 unless it is beyond doubt.
+        """Return the slowness, or 1 if the endpoint isn't clearly slow.
 
-        It fades: an endpoint that is known to be slow gets hardly any runs that
-        could show that it is well again.
+        The value decays towards 1 over time, because a slow endpoint gets hardly any
+        runs that could show that it has recovered.
         """
         if self._measured < SLOW_FACTOR:
             return 1.0
-        faded = math.exp((self._measured_at - now) / SLOWNESS_DECAY_SECONDS)
-        return 1.0 + (self._measured - 1.0) * faded
+        remaining = math.exp((self._measured_at - now) / SLOWNESS_DECAY_SECONDS)
+        return 1.0 + (self._measured - 1.0) * remaining
--- a/src/godwitbank/_internal/core/runs/routes.py
+++ b/src/godwitbank/_internal/core/runs/routes.py
@@ -1,10 +1,10 @@
-"""Which queue a request is for, by host name and longest path prefix."""
+"""Routing of requests to queues by host name and longest path prefix."""
 
 from godwitbank._internal.models.jobs import Configuration, QueueRules
 
 
 class RouteTable:
-    """The newest configuration known, indexed for look-ups."""
+    """The newest known configuration, indexed by host and by queue name."""
 
     def __init__(self) -> None:
         self.configuration: Configuration | None = None
@@ -13,14 +13,16 @@
 
     @property
     def version(self) -> int:
-        """Version in force, or 0 while there is none."""
+        """Version of the installed configuration, or 0 if there is none."""
         return self.configuration.version if self.configuration else 0
 
     def install(self, configuration: Configuration) -> bool:
-        """Put a configuration in force unless it is older than the one held.
+        """Install a configuration unless it is not newer than the installed one.
 
-        A read may be old and a peer may lag; going back would undo what the
-        operators were told is in force.
+        The store may return an old version and a peer may lag behind. Reverting to an
+        older version would undo a change that operators were told is in force.
+
+        :return: whether the configuration was installed.
         """
         if self.configuration and configuration.version <= self.version:
             return False
@@ -34,16 +36,16 @@
         return True
 
     def find(self, host: str, path: str) -> QueueRules | None:
-        """Find the queue with the longest prefix of a path."""
+        """Return the queue whose prefix is the longest that matches a path."""
         for queue in self._by_host.get(host, ()):
             if path.startswith(queue.prefix):
                 return queue
         return None
 
     def get(self, name: str) -> QueueRules | None:
-        """Find a queue by its name."""
+        """Return the queue with a name, if there is one."""
         return self._by_name.get(name)
 
     def list_services(self) -> set[str]:
-        """List the services that some queue leads to."""
+        """Return the services of all queues."""
         return {queue.service for queue in self._by_name.values()}
--- a/src/godwitbank/_internal/core/runs/waiting.py
+++ b/src/godwitbank/_internal/core/runs/waiting.py
@@ -1,8 +1,9 @@
-"""Tasks that wait for a place, by the time they should start at the latest.
+"""Priority queue of the tasks that wait for an agent.
 
-Earliest first is the best order while all can be served in time. Under overload
-it is the worst: what is already late goes first, makes the next late, and in the
-end every job is late. So tasks whose time has passed wait behind all others.
+Tasks are ordered by rank, the latest time at which they should start. Earliest first is
+the best order while all tasks can be served in time. Under overload it is the worst:
+tasks that are already late go first and make the next ones late, until every job is
+late. Therefore tasks whose rank has passed are queued behind all others.
 """
 
 import heapq
@@ -12,7 +13,7 @@
 
 
 class QueuedTask(NamedTuple):
-    """A task's place in the queue; the sequence keeps equal ranks in order."""
+    """A task in the queue; the sequence number keeps tasks of equal rank in order."""
 
     rank: float
     sequence: int
@@ -20,7 +21,11 @@
 
 
 class WaitingTasks:
-    """Waiting tasks of one service."""
+    """The waiting tasks of one service.
+
+    :param late_last: whether late tasks are queued behind all others.
+    :ivar count: number of tasks that wait.
+    """
 
     def __init__(self, late_last: bool = True) -> None:
         self._late_last = late_last
@@ -37,39 +42,48 @@
 
     def _push(self, task: Task) -> None:
         self._sequence += 1
-        entry = QueuedTask(task.job.rank, self._sequence, task)
-        heapq.heappush(self._timely, entry)
+        queued = QueuedTask(task.job.rank, self._sequence, task)
+        heapq.heappush(self._timely, queued)
 
     def mark_removed(self) -> None:
-        """Count out a task that no longer waits; its entry is skipped later."""
+        """Decrement the count for a task that no longer waits.
+
+        ``pop`` skips the task if it is still queued.
+        """
         self.count -= 1
 
     def pop(self, now: float) -> Task | None:
-        """Take the next task; if it finds no place it goes back by ``put_back``."""
+        """Remove and return the next task, or ``None`` if none waits.
+
+        A task that finds no agent must be returned by ``put_back``. One that is placed
+        must be counted out by ``mark_removed``.
+        """
         while self._timely:
-            entry = heapq.heappop(self._timely)
-            if entry.task.state is not TaskState.WAITING:
+            queued = heapq.heappop(self._timely)
+            if queued.task.state is not TaskState.WAITING:
                 continue
-            if entry.rank >= now or not self._late_last:
-                return entry.task
-            heapq.heappush(self._late, entry)
+            if queued.rank >= now or not self._late_last:
+                return queued.task
+            heapq.heappush(self._late, queued)
         while self._late:
-            entry = heapq.heappop(self._late)
-            if entry.task.state is TaskState.WAITING:
-                return entry.task
+            queued = heapq.heappop(self._late)
+            if queued.task.state is TaskState.WAITING:
+                return queued.task
         return None
 
     def put_back(self, tasks: list[Task]) -> None:
-        """Return tasks that found no place."""
+        """Queue tasks again that were popped but found no agent."""
         for task in tasks:
             self._push(task)
 
     def measure_timely_work(
         self, horizons: tuple[float, ...], now: float
     ) -> list[float]:
-        """Tell the core-seconds of work that must start within each horizon.
+        """Return the core-seconds that must start within each horizon.
+
+        Late tasks are left out, because all others go before them.
 
-        Work that is late already is left out: it lets others pass.
+        :param horizons: seconds from now.
         """
         totals = [0.0] * len(horizons)
         for rank, _, task in self._timely:
--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -435,7 +435,7 @@
     Break(
         "late work keeps its place",
         f"{LEASED}/waiting.py",
-        "            if entry.rank >= now or not self._late_last:",
+        "            if queued.rank >= now or not self._late_last:",
         "            if True:",
         f"{RUNS}/test_waiting.py::test_late_work_lets_timely_work_pass",
     ),
@@ -465,15 +465,16 @@
     Break(
         "full agents are looked at",
         f"{LEASED}/placement.py",
-        "        if not roomy:\n            return None\n",
-        "        if not roomy:\n            return self._choose_of_all(views, task)\n",
+        "        if not with_capacity:\n            return None\n",
+        "        if not with_capacity:\n"
+        "            return self._choose_by_speed(views, task)\n",
         f"{RUNS}/test_placement.py::test_a_job_costs_no_more_while_tasks_wait_for_room",
     ),
     Break(
         "jobs handed on outlive their stream",
         f"{LEASED}/intake.py",
-        "        for gone in self._adoption.drop_stream(stream):\n"
-        "            self.handle_caller_loss(gone)\n",
+        "        for caller_gone in self._adoption.drop_stream(stream):\n"
+        "            self.handle_caller_loss(caller_gone)\n",
         "",
         f"{RUNS}/test_forwarding.py::"
         "test_runs_end_when_the_entry_that_the_caller_came_to_is_lost",
