--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -437,7 +437,7 @@
         f"{LEASED}/waiting.py",
         "            if queued.rank >= now or not self._late_last:",
         "            if True:",
-        f"{RUNS}/test_waiting.py::test_late_work_lets_timely_work_pass",
+        f"{RUNS}/test_waiting.py::test_late_tasks_are_queued_behind_timely_ones",
     ),
     Break(
         "no process is ever behind",
@@ -453,7 +453,7 @@
         "if self._pressure.lag < FORWARD_LAG:",
         "if True:",
         f"{RUNS}/test_behind.py::"
-        "test_jobs_reach_the_processor_time_that_neighbours_have",
+        "test_jobs_are_forwarded_to_entries_with_spare_processor_time",
     ),
     Break(
         "late agents get as much work",
--- a/tests/core/runs/test_behind.py
+++ b/tests/core/runs/test_behind.py
@@ -1,16 +1,18 @@
-"""Entries that get more callers than their processor can serve.
-
-Symptom: callers of one availability zone have no answer until their time is over, or
-one that comes too late, while the other zones are well; next to nobody is refused, and
-it goes on long after the load is back to what it was.
-Sequence: some entries of a zone are cut off, callers move, a burst comes; the small
-entries that are left read their sockets in turns of 0.3 s instead of some milliseconds,
-take every job they read, and order runs for callers who have hung up; what they know of
-room is old, so half of their orders come back and are sent again.
-Cause: whether to take a job was decided by room at endpoints alone. The processor of
-the entry itself was not looked at, nor that of its neighbours, who had time.
-Evidence: the loop's turns grew from 50 to 350 ms within half a second; the same load
-without a bound on processor time served that zone like the others.
+"""Tests of entries that get more jobs than their processor can handle.
+
+They guard against callers of one availability zone getting their answers too late or
+never, even long after the load has dropped again, while other zones serve theirs, and
+hardly any caller is refused. Some entries of the zone were cut off, their callers moved
+to the others, and a burst came. A turn of the event loops of the remaining small
+entries then took 0.3 s instead of some milliseconds; it grew from 50 to 350 ms within
+half a second. Those entries accepted every job and sent start orders for callers that had
+disconnected. Their view of the free capacity was outdated, so half of their orders were
+returned and sent again. Without a limit on processor time the zone served the same load
+as well as the others.
+
+The cause was that jobs were accepted by the free capacity of the endpoints alone. The
+processor time of the entry itself wasn't considered, nor that of its peers, which had
+some to spare.
 """
 
 from functools import partial
@@ -23,25 +25,25 @@
 from tests.lib.runs_processor import BusyProcess, Callers
 from tests.lib.runs_world import RunsWorld, make_job
 
-SMALL, LARGE = 0.25, 2.0
+SMALL_ENTRY_CORES, LARGE_ENTRY_CORES = 0.25, 2.0
 """Cores of a small and of a large entry."""
 
-CAPACITY = 93.0
-"""Jobs a second that a small entry can serve, each of two tasks: one takes it 2.7 ms
-by the prices of ``runs_processor``, news of room included."""
+CAPACITY_JOBS_PER_SECOND = 93.0
+"""Jobs of two tasks that a small entry can handle per second. One takes 2.7 ms of
+processor time by the costs in ``runs_processor``, reports of free capacity included."""
 
-PATIENCE = 1.5
-OBJECTIVE = 0.3
-"""Seconds in which a job of two tasks of 0.15 s should be done: 1.6 of the run time
-and 60 ms."""
+TIMEOUT_SECONDS = 1.5
+OBJECTIVE_SECONDS = 0.3
+"""Seconds in which a job of two tasks of 0.15 s should be done: 1.6 times the run time
+plus 60 ms."""
 
-PROMPT = 0.25
-"""Seconds in which a caller that can't be served should know it: a sixth of the time it
-has, enough to go elsewhere."""
+PROMPT_SECONDS = 0.25
+"""Seconds in which a caller that can't be served should be refused: a sixth of its
+timeout, which leaves enough time to try elsewhere."""
 
 
 class Zone:
-    """Entries with little processor time, and much room."""
+    """Entries with little processor time, and endpoints with ample capacity."""
 
     def __init__(self, shares: list[float]) -> None:
         self.world = RunsWorld(seed=3)
@@ -52,12 +54,14 @@
         for number in range(10):
             self.world.add_agent(f"agent-{number}", Resources(64000, 10**6, 0))
         self.world.run(3.0)
-        self.callers = Callers(self.world, PATIENCE)
+        self.callers = Callers(self.world, TIMEOUT_SECONDS)
         self._rng = Random(5)
         self._number = 0
 
-    def press(self, entries: list[str], per_second: float, seconds: float) -> None:
-        """Let callers come to some entries."""
+    def submit_jobs(
+        self, entries: list[str], per_second: float, seconds: float
+    ) -> None:
+        """Submit jobs to random ones of some entries for some seconds."""
         until = self.world.now + seconds
         while self.world.now < until:
             self.world.run(self._rng.expovariate(per_second))
@@ -65,90 +69,90 @@
             spec = make_job(f"job{self._number}", width=2, seconds=0.15, cpu=1000)
             self.callers.ask(self._rng.choice(entries), spec)
 
-    def settle(self) -> None:
-        """Let all that was asked end."""
-        self.world.run(2 * PATIENCE + 2.0)
+    def wait_for_answers(self) -> None:
+        """Run until every caller was answered or has timed out."""
+        self.world.run(2 * TIMEOUT_SECONDS + 2.0)
 
-    def share_unanswered(self) -> float:
-        """Tell the share of callers without an answer in the time they had."""
+    def measure_unanswered_share(self) -> float:
+        """Return the share of callers without an answer within their timeout."""
         times = [self.callers.measure(asked) for asked in self.callers.asked]
-        late = [time for time in times if time is None or time > PATIENCE]
+        late = [time for time in times if time is None or time > TIMEOUT_SECONDS]
         return len(late) / len(times)
 
-    def share_done(self, since: float = 0.0) -> float:
-        """Tell the share of jobs done in time, of those asked since a moment."""
+    def measure_done_share(self, since: float = 0.0) -> float:
+        """Return the share of jobs submitted since a time that were done in time."""
         asked = [each for each in self.callers.asked if each.at >= since]
-        done = [each for each in asked if self.callers.is_done(each, OBJECTIVE)]
+        done = [each for each in asked if self.callers.is_done(each, OBJECTIVE_SECONDS)]
         return len(done) / len(asked)
 
-    def share_prompt_refusals(self) -> float:
-        """Tell the share of refusals that came promptly; 1 if there were none."""
+    def measure_prompt_refusal_share(self) -> float:
+        """Return the share of refusals that came promptly, or 1 if there were none."""
         times = [
             self.callers.measure(asked) or 0.0
             for asked in self.callers.asked
             if "refused" in self.world.get_ends(asked.spec.job)[:1]
         ]
-        prompt = [time for time in times if time <= PROMPT]
+        prompt = [time for time in times if time <= PROMPT_SECONDS]
         return len(prompt) / len(times) if times else 1.0
 
 
-def test_jobs_reach_the_processor_time_that_neighbours_have() -> None:
-    zone = Zone([SMALL, LARGE, LARGE])
-    zone.press(zone.entries[:1], 1.9 * CAPACITY, 4.0)
-    zone.settle()
-    assert zone.share_unanswered() <= 0.01
-    assert zone.share_done() >= 0.95
+def test_jobs_are_forwarded_to_entries_with_spare_processor_time() -> None:
+    zone = Zone([SMALL_ENTRY_CORES, LARGE_ENTRY_CORES, LARGE_ENTRY_CORES])
+    zone.submit_jobs(zone.entries[:1], 1.9 * CAPACITY_JOBS_PER_SECOND, 4.0)
+    zone.wait_for_answers()
+    assert zone.measure_unanswered_share() <= 0.01
+    assert zone.measure_done_share() >= 0.95
 
 
 @pytest.mark.parametrize("times", [1.6, 1.9])
 def test_callers_are_refused_at_once_while_no_entry_has_processor_time(
     times: float,
 ) -> None:
-    # What can be served is served all the same, but for a fifth that may be lost to
-    # the refusals' own cost.
-    zone = Zone([SMALL, SMALL])
-    zone.press(zone.entries, 2 * times * CAPACITY, 4.0)
-    zone.settle()
-    assert zone.share_unanswered() <= 0.01
-    assert zone.share_prompt_refusals() >= 0.99
-    assert zone.share_done() >= 0.8 / times
-
-
-def test_all_is_well_again_when_the_load_is_what_it_was() -> None:
-    zone = Zone([SMALL, SMALL])
-    zone.press(zone.entries, 2 * 1.9 * CAPACITY, 3.0)
+    # The jobs that can be served are still served, except for a fifth of them, as the
+    # refusals take processor time, too.
+    zone = Zone([SMALL_ENTRY_CORES, SMALL_ENTRY_CORES])
+    zone.submit_jobs(zone.entries, 2 * times * CAPACITY_JOBS_PER_SECOND, 4.0)
+    zone.wait_for_answers()
+    assert zone.measure_unanswered_share() <= 0.01
+    assert zone.measure_prompt_refusal_share() >= 0.99
+    assert zone.measure_done_share() >= 0.8 / times
+
+
+def test_service_recovers_when_the_load_drops_again() -> None:
+    zone = Zone([SMALL_ENTRY_CORES, SMALL_ENTRY_CORES])
+    zone.submit_jobs(zone.entries, 2 * 1.9 * CAPACITY_JOBS_PER_SECOND, 3.0)
     since = zone.world.now + 1.0
-    zone.press(zone.entries, 2 * 0.7 * CAPACITY, 4.0)
-    zone.settle()
-    assert zone.share_done(since) >= 0.99
+    zone.submit_jobs(zone.entries, 2 * 0.7 * CAPACITY_JOBS_PER_SECOND, 4.0)
+    zone.wait_for_answers()
+    assert zone.measure_done_share(since) >= 0.99
 
 
-def test_an_entry_that_keeps_up_serves_all_by_itself() -> None:
-    zone = Zone([SMALL, LARGE])
-    zone.press(zone.entries[:1], 0.7 * CAPACITY, 4.0)
-    zone.settle()
-    assert zone.share_unanswered() == 0.0
-    assert zone.share_done() >= 0.99
+def test_an_entry_with_enough_processor_time_serves_all_jobs() -> None:
+    zone = Zone([SMALL_ENTRY_CORES, LARGE_ENTRY_CORES])
+    zone.submit_jobs(zone.entries[:1], 0.7 * CAPACITY_JOBS_PER_SECOND, 4.0)
+    zone.wait_for_answers()
+    assert zone.measure_unanswered_share() == 0.0
+    assert zone.measure_done_share() >= 0.99
 
 
 def test_agents_without_processor_time_get_less_work() -> None:
-    # Symptom: jobs are late though endpoints have room. Sequence: the VM of some agents
-    # turns slow; they act on orders a quarter of a second late; their endpoints stay as
-    # fast as others, and have the most room, as little is started there. Cause: entries
-    # looked at endpoints' speed and room, not at how late their agents are.
+    # Guards against late jobs while endpoints have free capacity. Agents on a slow VM
+    # acted on orders a quarter of a second late. Their endpoints were as fast as others
+    # and had the most free capacity, as little was started there, so entries that only
+    # considered speed and capacity preferred them.
     world = RunsWorld(seed=4)
     world.add_entry("entry-0")
     for number in range(4):
         world.add_agent(f"agent-{number}", Resources(64000, 10**6, 0))
     world.run(3.0)
-    late = world.processes["agent-0"]
+    lagging = world.processes["agent-0"]
     for _ in range(40):
-        late.give(Lagged(0.25))
+        lagging.give(Lagged(0.25))
         world.run(0.05)
     for number in range(20):
         world.submit("entry-0", make_job(f"job{number}", width=2, seconds=0.15))
         world.run(0.1)
     sent = [note for _, _, note in world.notes if note.event == "run_sent"]
-    to_late = [note for note in sent if note.fields["agent"] == "agent-0"]
+    sent_to_lagging = [note for note in sent if note.fields["agent"] == "agent-0"]
     assert len(sent) == 40
-    assert len(to_late) == 0
+    assert len(sent_to_lagging) == 0
--- a/tests/core/runs/test_happy_path.py
+++ b/tests/core/runs/test_happy_path.py
@@ -1,9 +1,9 @@
-"""Jobs run to their end on a calm day."""
+"""Tests of jobs that run without any failure."""
 
 from tests.lib.runs_world import CAPACITY, RunsWorld, make_job
 
 SETTLE_SECONDS = 1.2
-"""Seconds by which a lone entry, too, takes jobs."""
+"""Seconds after which even a single entry accepts jobs."""
 
 
 def make_world(entries: int = 2, agents: int = 3, seed: int = 0) -> RunsWorld:
@@ -25,7 +25,7 @@
     assert world.get_ends("j1") == ["completed"]
 
 
-def test_more_work_than_room_waits_and_is_served() -> None:
+def test_tasks_beyond_the_capacity_wait_and_are_served() -> None:
     world = make_world(agents=1)
     for number in range(4):
         world.submit(f"entry-{number % 2}", make_job(f"j{number}", width=7, seconds=1))
@@ -34,7 +34,7 @@
     assert ends == [["completed"]] * 4
 
 
-def test_urgent_work_passes_what_waits() -> None:
+def test_an_urgent_job_overtakes_waiting_tasks() -> None:
     world = make_world(entries=1, agents=1)
     world.submit("entry-0", make_job("long", width=10, seconds=0.28))
     world.run(0.2)
@@ -45,7 +45,7 @@
     assert world.get_ends("late") == []
 
 
-def test_what_fits_no_endpoint_is_refused_at_once_and_has_not_run() -> None:
+def test_a_job_that_fits_no_endpoint_is_refused_at_once_without_running() -> None:
     world = make_world()
     world.submit("entry-0", make_job("j1", cpu=CAPACITY.cpu + 1))
     world.run(0.01)
--- a/tests/core/runs/test_load.py
+++ b/tests/core/runs/test_load.py
@@ -1,4 +1,4 @@
-"""What callers get under load: played without a network, in one clock."""
+"""Tests of the service under load, simulated without a network and in virtual time."""
 
 import pytest
 from standins.leased_endpoint import Behaviour
@@ -16,15 +16,15 @@
     [
         # 63 % of the endpoints' capacity.
         (70.0, 0.98),
-        # 99 %: measured 0.93; 0.89 without the bound on waiting work.
+        # 99 %: measured 0.93, and 0.89 without the bound on the backlog.
         (110.0, 0.90),
-        # 126 %: measured 0.76 with the bound, 0.57 without, and 0.58 when work
-        # that was late already kept its place before all other.
+        # 126 %: measured 0.76 with the bound, 0.57 without it, and 0.58 with late
+        # tasks queued before timely ones.
         (140.0, 0.70),
     ],
 )
 def test_worth_earned_under_load(per_second: float, least: float) -> None:
-    # One seed alone varies by 0.03 with any change of timing.
+    # Averaged, because the result of one seed varies by 0.03 with any change of timing.
     earned = []
     for seed in SEEDS:
         load = Load(seed)
@@ -34,15 +34,15 @@
 
 
 def test_refusals_under_overload_are_prompt() -> None:
-    # A caller that can't be served must learn so at once, not after a wait.
+    # A caller that can't be served must be refused at once, not after a wait.
     load = Load(seed=2)
     load.play(180.0, 4.0)
     load.settle()
     sent = load.list_sent()
     waits = [
         at - sent[name]
-        for name, told in load.world.results_at.items()
-        for result, at in told
+        for name, results in load.world.results_at.items()
+        for result, at in results
         if result.end == "refused"
     ]
     assert waits
@@ -53,21 +53,22 @@
 @pytest.mark.parametrize(
     ("per_second", "least"),
     [
-        # 54 % of capacity: measured 0.974; 0.949 when results alone told how slow an
-        # endpoint is and slow runs were left where they were.
+        # 54 % of capacity: measured 0.974, and 0.949 when slow endpoints were detected
+        # by results alone and slow runs weren't moved.
         (60.0, 0.96),
         # 68 %: 0.949 and 0.920.
         (75.0, 0.935),
-        # 81 %: 0.880 and 0.849. Moved whether there was room or not: 0.847.
+        # 81 %: 0.880 and 0.849. When runs were moved even without free capacity
+        # elsewhere: 0.847.
         (90.0, 0.865),
     ],
 )
 def test_worth_earned_while_two_endpoints_are_slow(
     per_second: float, least: float
 ) -> None:
-    # Symptom: callers wait for seconds, some until they give up. Sequence: two of
-    # eleven endpoints run five times slower for some seconds, and go on getting
-    # work. Cause: their slowness showed only in results, which came late.
+    # Guards against callers that wait for seconds, some until they time out, because
+    # two of eleven endpoints run five times slower for a while and still get runs. They
+    # did when slow endpoints were detected by the results of runs, which come late.
     earned = []
     for seed in (1, 2, 3, 4):
         load = Load(seed, entries=4)
@@ -84,10 +85,9 @@
 
 
 def test_a_large_task_is_not_starved_by_small_ones() -> None:
-    # Symptom: a job whose task needs a whole endpoint never begins while there is
-    # more work than room, and is refused after a wait. Sequence: small tasks take each
-    # bit of room as it becomes free. Cause: nothing kept room for a task that needs
-    # much of it.
+    # Guards against a job whose task needs a whole endpoint never starting under
+    # overload and being refused after a wait. Unless capacity is reserved for it, small
+    # tasks use everything as soon as it becomes free.
     load = Load(seed=3)
     load.play(130.0, 1.0)
     step = StepSpec(1, Resources(16000, 64, 0), 0.3)
@@ -96,11 +96,11 @@
     assert [str(r.end) for r in load.world.results["large"]] == ["completed"]
 
 
-def test_tasks_wait_where_any_room_reaches_them() -> None:
-    # Symptom: jobs that were taken end late although others are refused. Sequence:
-    # all endpoints are busy; each task of a job waits at one of them, and the last
-    # of eight waits for the slowest. Cause: tasks were bound to an endpoint before it
-    # had room. Played load at 126 % of capacity, late among all: 0.17, now 0.03.
+def test_tasks_wait_at_the_entry_for_any_free_agent() -> None:
+    # Guards against accepted jobs that end late although other jobs are refused. When
+    # tasks were bound to endpoints before these had free capacity, the last of a job's
+    # eight tasks waited for the slowest endpoint. At 126 % of capacity the share of
+    # late jobs was 0.17, and 0.03 with tasks waiting at the entry.
     late = []
     for seed in SEEDS:
         load = Load(seed)
@@ -109,12 +109,12 @@
     assert sum(late) / len(late) < 0.10
 
 
-def test_entries_that_meet_some_agents_only_serve_as_much_as_one_pool() -> None:
-    # Symptom: jobs are refused while endpoints have room. Sequence: 26 entries each see
-    # a third of 61 agents, under a load that fills them. Cause: all that waits at the
-    # other entries was counted against the part of the room that one entry sees.
-    # Played at 107 % of capacity: 0.958 of the worth with all of it, 0.992 with the
-    # share of agents in common.
+def test_entries_connected_to_some_agents_serve_as_much_as_one_pool() -> None:
+    # Guards against refusing jobs while endpoints have free capacity. Each of 26
+    # entries is connected to a third of 61 agents, under a load that fills them. The
+    # whole backlog of the other entries was counted against the capacity that one entry
+    # sees. At 107 % of capacity 0.958 of the worth was earned that way, and 0.992 when
+    # their backlog counts by the share of common agents.
     earned = []
     for seed in (1, 2):
         load = Load(seed, entries=26, agents=61)
--- a/tests/core/runs/test_placement.py
+++ b/tests/core/runs/test_placement.py
@@ -1,4 +1,4 @@
-"""What choosing an agent costs an entry."""
+"""Tests of placing tasks while most agents are full."""
 
 from collections import Counter
 
@@ -12,7 +12,7 @@
 
 
 def make_full_world() -> RunsWorld:
-    """Make one entry and agents that are full, with tasks that wait for room."""
+    """Make one entry with agents that are all full, and tasks that wait."""
     world = RunsWorld(seed=2)
     world.checking = False
     world.add_entry("entry-0")
@@ -28,29 +28,28 @@
 def test_a_job_costs_no_more_while_tasks_wait_for_room(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Symptom: entries of small VMs fall behind when a burst comes, at a rate of jobs
-    # that they serve well otherwise, and stay behind. Sequence: all endpoints are full;
-    # some tasks wait; jobs come. Cause: each job that came, and each look at deadlines,
-    # tried up to eight waiting tasks at every agent; a job took the entry twice the
-    # processor time just when there was none to spare.
-    # Evidence: with this mended too, no entry was late for 30 ms on the day on which
-    # the entries of one zone had been late for a third of a second from 6 s on.
+    # Guards against entries on small VMs that get overloaded by a burst and stay so,
+    # at a rate of jobs that they can otherwise serve. While all endpoints were full,
+    # each new job and each check of deadlines tried up to eight waiting tasks at every
+    # agent, which doubled the processor time per job. In the load where the entries of
+    # one zone had lagged by a third of a second from 6 s on, none lagged by 30 ms with
+    # the fix.
     world = make_full_world()
-    looks: Counter[str] = Counter()
+    checks: Counter[str] = Counter()
     is_allowed = placement._is_allowed
 
-    def count_looks(view, task, now):
-        looks[task.name] += 1
+    def count_checks(view, task, now):
+        checks[task.name] += 1
         return is_allowed(view, task, now)
 
-    monkeypatch.setattr(placement, "_is_allowed", count_looks)
+    monkeypatch.setattr(placement, "_is_allowed", count_checks)
     for number in range(10):
         world.submit("entry-0", make_job(f"new{number}", width=2, cpu=2000))
         world.run(0.1)
-    assert sum(looks.values()) <= AGENTS
+    assert sum(checks.values()) <= AGENTS
 
 
-def test_a_job_is_placed_where_there_is_room_though_most_agents_are_full() -> None:
+def test_a_job_is_placed_at_the_only_agent_with_free_capacity() -> None:
     world = make_full_world()
     world.add_agent("agent-new", Resources(2000, 10**6, 0))
     world.run(1.0)
--- a/tests/core/runs/test_waiting.py
+++ b/tests/core/runs/test_waiting.py
@@ -1,4 +1,4 @@
-"""The order of waiting tasks."""
+"""Tests of the order of waiting tasks."""
 
 from godwitbank._internal.core.runs.jobs import Job, TaskState
 from godwitbank._internal.core.runs.waiting import WaitingTasks
@@ -16,7 +16,7 @@
     return job
 
 
-def take_names(waiting: WaitingTasks, now: float) -> list[str]:
+def pop_names(waiting: WaitingTasks, now: float) -> list[str]:
     names = []
     while (task := waiting.pop(now)) is not None:
         task.state = TaskState.SENT
@@ -25,38 +25,38 @@
     return names
 
 
-def test_the_earliest_latest_start_goes_first() -> None:
+def test_the_task_with_the_lowest_rank_goes_first() -> None:
     waiting = WaitingTasks()
     for name, rank in (("b", NOW + 2), ("a", NOW + 1), ("c", NOW + 3)):
         add_job(waiting, name, rank)
-    assert take_names(waiting, NOW) == ["a", "b", "c"]
+    assert pop_names(waiting, NOW) == ["a", "b", "c"]
 
 
-def test_late_work_lets_timely_work_pass() -> None:
-    # Symptom: under overload every job is late. Cause: what was late already went
-    # first and made the next late.
+def test_late_tasks_are_queued_behind_timely_ones() -> None:
+    # Guards against every job being late under overload: tasks that were late already
+    # went first and made the next ones late.
     waiting = WaitingTasks()
     for name, rank in (("late", NOW - 1), ("later", NOW - 2), ("timely", NOW + 1)):
         add_job(waiting, name, rank)
-    assert take_names(waiting, NOW) == ["timely", "later", "late"]
+    assert pop_names(waiting, NOW) == ["timely", "later", "late"]
 
 
-def test_what_found_no_place_keeps_its_turn() -> None:
+def test_a_task_that_found_no_agent_keeps_its_rank() -> None:
     waiting = WaitingTasks()
     add_job(waiting, "a", NOW + 1)
     add_job(waiting, "b", NOW + 2)
     task = waiting.pop(NOW)
     assert task is not None
     waiting.put_back([task])
-    assert take_names(waiting, NOW) == ["a", "b"]
+    assert pop_names(waiting, NOW) == ["a", "b"]
     assert waiting.count == 0
 
 
-def test_only_timely_work_counts_as_backlog() -> None:
+def test_late_tasks_do_not_count_as_backlog() -> None:
     waiting = WaitingTasks()
     add_job(waiting, "late", NOW - 1)
     job = add_job(waiting, "soon", NOW + 0.5, width=2)
     add_job(waiting, "then", NOW + 5)
-    work = sum(task.core_seconds for task in job.tasks[0])
-    first, whole = waiting.measure_timely_work((1.0, 10.0), NOW)
-    assert (first, whole) == (work, 1.5 * work)
+    core_seconds = sum(task.core_seconds for task in job.tasks[0])
+    first, total = waiting.measure_timely_work((1.0, 10.0), NOW)
+    assert (first, total) == (core_seconds, 1.5 * core_seconds)
