--- a/src/godwitbank/_internal/core/runs/dispatcher.py
+++ b/src/godwitbank/_internal/core/runs/dispatcher.py
@@ -48,8 +48,9 @@
 likely to be of use."""
 
 REMOTE_CAPACITY_FACTOR = 2
-"""Multiple of the capacity that a job forwarded by another entry needs which must be
-free. Other entries place tasks at the same agents concurrently."""
+"""How many times the capacity needed by a job of another entry must be free to accept
+the job for immediate placement. Other entries place tasks at the same agents
+concurrently."""
 
 _FORWARDABLE_REFUSALS = {"overload", "no_endpoint", "arriving", "evacuated"}
 """Refusals for lack of capacity at the agents this entry is connected to. Other entries
@@ -544,9 +545,9 @@
                 self._release_orphan(task)
 
     def release_orphaned_runs(self, view: AgentView) -> None:
-        """Release the orphaned runs of a restarted agent's predecessor.
+        """Count the orphaned runs at an agent as lost, and retry their tasks.
 
-        Called once everything that the predecessor had started is known to be over.
+        Called once everything that the agent's predecessor had started is over.
         """
         for task in [each for each in self._orphaned if each.agent == view.address]:
             self._release_orphan(task)
@@ -570,7 +571,7 @@
         return late and not self.fleet.list_accepting_agents(job.queue.service)
 
     def check_deadlines(self) -> None:
-        """Give up expired jobs, release lapsed orphaned runs, and dispatch."""
+        """Give up expired jobs, retry orphaned runs that have lapsed, and dispatch."""
         for task in [each for each in self._orphaned if each.lapses_at <= self._now]:
             self._release_orphan(task)
         for job in list(self.jobs.values()):
--- a/src/godwitbank/_internal/core/runs/fleet.py
+++ b/src/godwitbank/_internal/core/runs/fleet.py
@@ -262,7 +262,8 @@
     def awaits_endpoint(self, now: float) -> bool:
         """Return whether a new agent hasn't learnt of its endpoint yet.
 
-        An agent that has none for longer than the arrival time has no endpoint.
+        An agent that hasn't learnt of one within the arrival time is taken to have
+        none, so that nothing waits for it.
         """
         return any(
             now - view.opened_at < self._arrival_seconds
--- a/src/godwitbank/_internal/core/runs/health.py
+++ b/src/godwitbank/_internal/core/runs/health.py
@@ -52,7 +52,8 @@
         """
         ratio = math.log(max(elapsed, 1e-3) / max(expected, 1e-3))
         self.log_slowdown += SLOWNESS_WEIGHT * (ratio - self.log_slowdown)
-        # Cached, because every placement reads it for every agent.
+        # Cached, because every placement reads it for every agent, much more often
+        # than runs end.
         self._factor = math.exp(self.log_slowdown)
         self.failure_share *= 1 - FAILURE_WEIGHT
         self._ejections = 0
--- a/src/godwitbank/_internal/core/runs/progress.py
+++ b/src/godwitbank/_internal/core/runs/progress.py
@@ -32,7 +32,8 @@
 late. If it was kept for long, an endpoint would stay idle after it has recovered."""
 
 SLOW_FACTOR = 2.0
-"""Slowness from which runs are moved. Healthy kinds of endpoints differ by less."""
+"""Slowness from which runs are moved. Healthy endpoints of different
+kinds differ by less."""
 
 MOVE_COST_SECONDS = 0.2
 """Estimated cost of a move in seconds: stopping the run, reaching the other agent, and
--- a/tests/core/runs/test_behind.py
+++ b/tests/core/runs/test_behind.py
@@ -5,10 +5,10 @@
 hardly any caller is refused. Some entries of the zone were cut off, their callers moved
 to the others, and a burst came. A turn of the event loops of the remaining small
 entries then took 0.3 s instead of some milliseconds; it grew from 50 to 350 ms within
-half a second. Those entries accepted every job and sent start orders for callers that had
-disconnected. Their view of the free capacity was outdated, so half of their orders were
-returned and sent again. Without a limit on processor time the zone served the same load
-as well as the others.
+half a second. Those entries accepted every job and sent start orders for callers that
+had disconnected. Their view of the free capacity was outdated, so half of their orders
+were returned and sent again. Without a limit on processor time the zone served the same
+load as well as the others.
 
 The cause was that jobs were accepted by the free capacity of the endpoints alone. The
 processor time of the entry itself wasn't considered, nor that of its peers, which had
