--- a/src/godwitbank/_internal/core/runs/intake.py
+++ b/src/godwitbank/_internal/core/runs/intake.py
@@ -68,7 +68,7 @@
         return busy_here or self._forwarding.busy
 
     def has_job(self, job: str) -> bool:
-        """Tell whether a job is in flight here, or at another entry for this one."""
+        """Return whether a job is in flight here, or at another entry for this one."""
         return job in self._dispatcher.jobs or self._forwarding.has(job)
 
     def submit(self, event: JobSubmitted, acquired: bool = False) -> None:
