--- a/src/godwitbank/_internal/core/runs/dispatcher.py
+++ b/src/godwitbank/_internal/core/runs/dispatcher.py
@@ -167,7 +167,9 @@
             if self.fleet.list_accepting_agents(service):
                 return "too_large"
         capacity = self.fleet.measure_capacity(service, self._now)
-        just_started = self._now - self._booted_at < self._deployment.agent_startup_seconds
+        just_started = (
+            self._now - self._booted_at < self._deployment.agent_startup_seconds
+        )
         if not capacity and (just_started or self.fleet.awaits_endpoint(self._now)):
             # Agents connect and learn of their endpoints within about a second. A job
             # that can't wait that long would be late and use capacity others need.
--- a/src/godwitbank/_internal/core/runs/fleet.py
+++ b/src/godwitbank/_internal/core/runs/fleet.py
@@ -167,7 +167,8 @@
 
     The health of an endpoint is kept while its agent is disconnected.
 
-    :param arrival_seconds: seconds within which a new agent learns of its endpoint.
+    :param agent_startup_seconds: seconds within which a new agent learns of its
+        endpoint.
     :ivar views: the connected agents, by stream.
     """
 
