--- a/src/godwitbank/_internal/core/claims.py
+++ b/src/godwitbank/_internal/core/claims.py
@@ -1,42 +1,45 @@
 """Claims of non-idempotent request ids in the platform's table.
 
-A claim is written before the start and grouped with all that came in while the
-last write was under way. A claim's token names one submission's task, so that a
-write whose answer was lost can be sent again and recognised as its own.
+A claim is written before its task starts. Claims that arrive while a write is in
+progress are batched into the next one. A claim's token names one task of one
+submission, so that a write whose answer was lost can be repeated and the row
+recognised as the entry's own.
 """
 
 from collections import OrderedDict
 from typing import NamedTuple
 
-MAX_BATCH = 200
-"""Claims in one transaction."""
+MAX_BATCH_CLAIMS = 200
+"""Most claims in one transaction."""
 
-MAX_REMEMBERED = 20_000
-"""Tokens remembered as held here or as abandoned here."""
+MAX_REMEMBERED_TOKENS = 20_000
+"""Most tokens kept as held by this entry, and as many as abandoned by it."""
 
-FAILURES_TO_REFUSE = 2
-"""Writes without an answer, in a row, after which new claims are refused."""
+FAILURES_BEFORE_REFUSAL = 2
+"""Consecutive writes without an answer after which new claims are refused."""
 
 WRITES_PER_SECOND = 300.0
-"""Claim writes that all entries together may make of the table's several hundred."""
+"""Claim writes per second of all entries together; the table takes several hundred
+writes per second in all."""
 
-RETRY_DELAY = 0.1
-"""Seconds before a batch without an answer is sent again."""
+RETRY_DELAY_SECONDS = 0.1
+"""Seconds before a batch that got no answer is written again."""
 
 
 class Claim(NamedTuple):
-    """A request id wanted by one task."""
+    """A request to claim a request id for one task."""
 
     key: str
     token: str
-    asked_at: float
+    requested_at: float
 
 
 class Batch(NamedTuple):
-    """Claims to be committed together.
+    """Claims to commit in one transaction.
 
-    :param supersedes: tokens of this entry's own abandoned claims, which may
-        be replaced because their tasks can never start.
+    :param claims: token to write for each key.
+    :param supersedes: for some of the keys, the token of a claim that this entry
+        abandoned; it may be replaced, because its task can never start.
     """
 
     number: int
@@ -45,42 +48,43 @@
 
 
 class Claims:
-    """Groups claims into batches, one batch at a time."""
+    """Groups claims into batches and tracks the one batch being written."""
 
     def __init__(self) -> None:
         self._waiting: OrderedDict[str, Claim] = OrderedDict()
         self._batch: Batch | None = None
         self._retry_at = 0.0
-        self._next_at = 0.0
+        self._next_write_at = 0.0
         self._number = 0
         self._failures = 0
         self._held: OrderedDict[str, str] = OrderedDict()
         self._abandoned: OrderedDict[str, str] = OrderedDict()
 
     def find_holder(self, key: str) -> str | None:
-        """Find the token that holds a key as far as this entry knows."""
+        """Find the token with which this entry holds or requests a key."""
         return self._held.get(key)
 
-    def ask(self, key: str, token: str, now: float) -> None:
-        """Queue a claim; the key is held here from now on."""
+    def request(self, key: str, token: str, now: float) -> None:
+        """Queue a claim; from now on this entry treats the key as held."""
         self._waiting[key] = Claim(key, token, now)
-        self._remember(self._held, key, token)
+        self._remember_token(self._held, key, token)
 
     def next_batch(self, now: float, entries: int) -> Batch | None:
-        """Take the batch to write now, if any.
+        """Return the batch to write now, or ``None``.
 
-        :param entries: entries known, this one included. They share the table's
-            writes, so each waits that much longer and groups that many more.
+        :param entries: number of known entries, including this one. They share
+            the table's write rate, so with more entries each one writes less
+            often, in larger batches.
         """
         if self._batch is not None:
             if self._retry_at and now >= self._retry_at:
                 self._retry_at = 0.0
                 return self._batch
             return None
-        if not self._waiting or now < self._next_at:
+        if not self._waiting or now < self._next_write_at:
             return None
-        self._next_at = now + entries / WRITES_PER_SECOND
-        keys = list(self._waiting)[:MAX_BATCH]
+        self._next_write_at = now + entries / WRITES_PER_SECOND
+        keys = list(self._waiting)[:MAX_BATCH_CLAIMS]
         claims = {key: self._waiting.pop(key).token for key in keys}
         supersedes = {
             key: self._abandoned[key] for key in claims if key in self._abandoned
@@ -89,11 +93,11 @@
         self._batch = Batch(self._number, claims, supersedes)
         return self._batch
 
-    def settle(self, number: int, lost: dict[str, str]) -> dict[str, bool]:
-        """Note a committed batch.
+    def resolve(self, number: int, lost: dict[str, str]) -> dict[str, bool]:
+        """Handle the result of a committed batch.
 
-        :param lost: keys held by others with the holder's token.
-        :return: for each token whether its claim was won.
+        :param lost: keys held by other tasks, with the token that holds each.
+        :return: for each token of the batch, whether its claim was won.
         """
         if self._batch is None or self._batch.number != number:
             return {}
@@ -109,35 +113,35 @@
         self._failures = 0
         return results
 
-    def fail(self, number: int, now: float) -> None:
-        """Note that a batch got no answer; it is sent again as it was."""
+    def mark_unanswered(self, number: int, now: float) -> None:
+        """Record that a batch got no answer and schedule it again, unchanged."""
         if self._batch is not None and self._batch.number == number:
-            self._retry_at = now + RETRY_DELAY
+            self._retry_at = now + RETRY_DELAY_SECONDS
             self._failures += 1
 
     def abandon(self, key: str, token: str) -> None:
-        """Give up a claim whose task was not and will not be started."""
+        """Give up a claim whose task was not started and never will be."""
         if self._waiting.get(key, Claim("", "", 0)).token == token:
             del self._waiting[key]
         if self._held.get(key) == token:
             del self._held[key]
-            self._remember(self._abandoned, key, token)
+            self._remember_token(self._abandoned, key, token)
 
     @property
     def failing(self) -> bool:
-        """Whether the table has failed more than once in a row."""
-        return self._failures >= FAILURES_TO_REFUSE
+        """Whether the table has left several writes in a row unanswered."""
+        return self._failures >= FAILURES_BEFORE_REFUSAL
 
     @property
     def next_write(self) -> float:
-        """Time at which a batch may next go out, or infinity."""
+        """Time at which a batch may next be written, or infinity."""
         if self._batch is not None:
             return self._retry_at or float("inf")
-        return self._next_at if self._waiting else float("inf")
+        return self._next_write_at if self._waiting else float("inf")
 
     @staticmethod
-    def _remember(where: OrderedDict[str, str], key: str, token: str) -> None:
-        where[key] = token
-        where.move_to_end(key)
-        if len(where) > MAX_REMEMBERED:
-            where.popitem(last=False)
+    def _remember_token(tokens: OrderedDict[str, str], key: str, token: str) -> None:
+        tokens[key] = token
+        tokens.move_to_end(key)
+        if len(tokens) > MAX_REMEMBERED_TOKENS:
+            tokens.popitem(last=False)
--- a/src/godwitbank/_internal/core/entry.py
+++ b/src/godwitbank/_internal/core/entry.py
@@ -1,4 +1,4 @@
-"""The entry's decisions: membership, configuration, and the dispatcher."""
+"""State machine of an entry: membership, configuration and dispatching."""
 
 from collections.abc import Callable
 from random import Random
@@ -8,7 +8,7 @@
 from godwitbank._internal.core.dispatch import Dispatcher
 from godwitbank._internal.core.events import (
     Action,
-    CallerLeft,
+    CallerDisconnected,
     ClaimsFailed,
     ClaimsWritten,
     CloseStream,
@@ -19,13 +19,13 @@
     StreamClosed,
     StreamOpened,
     Submitted,
-    TableSeen,
+    TableRead,
     Tick,
 )
 from godwitbank._internal.core.identity import Identity, Timing, make_hello
 from godwitbank._internal.core.membership import FORGET_SECONDS, Membership
 from godwitbank._internal.core.peers import PeerView
-from godwitbank._internal.core.pool import AgentView, ToldDemand
+from godwitbank._internal.core.pool import AgentView, AnnouncedDemand
 from godwitbank._internal.core.service import PeerBacklog
 from godwitbank._internal.models.messages import (
     PROTOCOL_VERSION,
@@ -49,15 +49,15 @@
     Welcome,
 )
 
-DOUBT_SECONDS = 6.0
-"""Seconds an unreachable agent has to come back before its tasks are lost."""
+RECONNECT_TIMEOUT_SECONDS = 6.0
+"""Seconds a disconnected agent has to reconnect before its tasks count as lost."""
 
-LONE_SECONDS = 1.0
-"""Seconds a booting entry listens for newer revisions before it serves."""
+BOOT_LISTEN_SECONDS = 1.0
+"""Seconds a booting entry waits for newer revisions from others before it serves."""
 
 
 class EntryCore:
-    """Decides for one entry; driven by events, answers with actions."""
+    """State machine of one entry: takes events, returns actions, does no I/O."""
 
     def __init__(
         self,
@@ -74,222 +74,222 @@
         self.dispatcher = Dispatcher(
             self.catalog, self.counts, timing, rng, identity.zone
         )
-        self.members = Membership(identity, balancer, self.counts, now)
+        self.membership = Membership(identity, balancer, self.counts, now)
         self._inbound: dict[int, Hello] = {}
         self._booted_at = now
-        self._table_seen = False
-        self._informed = False
+        self._table_read = False
+        self._has_contact = False
         self._next_heartbeat = now
-        self._out: list[Action] = []
+        self._actions: list[Action] = []
         self._now = now
         self._handlers: dict[type, Callable] = {
-            Received: self._receive,
+            Received: self._handle_message,
             Submitted: lambda event: self.dispatcher.submit(event.submission),
-            CallerLeft: lambda event: self.dispatcher.cancel(event.submission),
-            ClaimsWritten: lambda event: self.dispatcher.settle_claims(event),
-            ClaimsFailed: lambda event: self.dispatcher.fail_claims(event),
-            StreamOpened: self._open,
-            StreamClosed: self._close,
-            DocumentRead: self._read_document,
-            TableSeen: self._see_table,
-            DrainRequested: self._drain,
-            Tick: self._tick,
+            CallerDisconnected: lambda event: self.dispatcher.cancel(event.submission),
+            ClaimsWritten: lambda event: self.dispatcher.resolve_claims(event),
+            ClaimsFailed: lambda event: self.dispatcher.handle_claims_failure(event),
+            StreamOpened: self._handle_stream_opened,
+            StreamClosed: self._handle_stream_closed,
+            DocumentRead: self._handle_document_read,
+            TableRead: self._mark_table_read,
+            DrainRequested: self._handle_drain_request,
+            Tick: self._handle_tick,
         }
-        self._agent_receivers: dict[type, Callable] = {
-            Finished: self.dispatcher.hear_finished,
-            Refused: self.dispatcher.hear_refused,
-            Resolved: self.dispatcher.hear_resolved,
-            Load: self._hear_load,
-            Heartbeat: self._hear_agent,
-            EndpointState: self._hear_endpoint,
-            Recalled: lambda view, message: self.dispatcher.hear_recalled(message),
-            Revisions: self._compare,
-            Document: self._hear_document,
-            Peers: self._hear_peers,
-            Goodbye: self._hear_goodbye,
+        self._agent_message_handlers: dict[type, Callable] = {
+            Finished: self.dispatcher.handle_finished,
+            Refused: self.dispatcher.handle_refused,
+            Resolved: self.dispatcher.handle_resolved,
+            Load: self._handle_load,
+            Heartbeat: self._handle_agent_heartbeat,
+            EndpointState: self._handle_endpoint_state,
+            Recalled: lambda view, message: self.dispatcher.handle_recalled(message),
+            Revisions: self._handle_revisions,
+            Document: self._handle_document,
+            Peers: self._handle_peers,
+            Goodbye: self._handle_goodbye,
         }
-        self._peer_receivers: dict[type, Callable] = {
-            Heartbeat: self._hear_peer,
-            PeerLoad: self._hear_peer_load,
-            Revisions: self._compare,
-            Document: self._hear_document,
-            Peers: self._hear_peers,
-            Goodbye: self._hear_goodbye,
+        self._peer_message_handlers: dict[type, Callable] = {
+            Heartbeat: self._handle_peer_heartbeat,
+            PeerLoad: self._handle_peer_load,
+            Revisions: self._handle_revisions,
+            Document: self._handle_document,
+            Peers: self._handle_peers,
+            Goodbye: self._handle_goodbye,
         }
 
     def handle(self, event: object, now: float) -> list[Action]:
-        """Take one event and return what has to be done."""
+        """Handle one event and return the actions to perform."""
         self._now = now
-        self._out = []
-        self.dispatcher.begin(now, self._out.append)
-        self.members.begin(now, self._out.append)
+        self._actions = []
+        self.dispatcher.begin_event(now, self._actions.append)
+        self.membership.begin_event(now, self._actions.append)
         self._handlers[type(event)](event)
-        return self._out
+        return self._actions
 
     @property
     def next_wakeup(self) -> float:
-        """Time at which a ``Tick`` is next needed."""
+        """Time at which the next ``Tick`` is due."""
         return min(self._next_heartbeat, self.dispatcher.next_wakeup)
 
     @property
     def ready(self) -> bool:
-        """Whether this entry knows enough to serve.
+        """Whether this entry may serve.
 
-        It must have heard the table, another entry or an agent, and have
-        listened long enough that a newer revision known to any of them has
-        arrived: serving on an old document would revert an accepted one.
+        It must have read the table or received from another entry or an agent,
+        and have waited long enough for a newer revision that any of them holds
+        to arrive. Serving with an old document would revert an accepted change.
         """
-        informed = self._table_seen or self._informed
-        return informed and self._now - self._booted_at >= LONE_SECONDS
+        informed = self._table_read or self._has_contact
+        return informed and self._now - self._booted_at >= BOOT_LISTEN_SECONDS
 
     # Streams
 
-    def _open(self, event: StreamOpened) -> None:
+    def _handle_stream_opened(self, event: StreamOpened) -> None:
         greeting = event.greeting
         if greeting.version != PROTOCOL_VERSION:
             self.counts.add("streams_refused", "version")
-            self._out.append(CloseStream(event.stream, "unknown protocol version"))
+            self._actions.append(CloseStream(event.stream, "unknown protocol version"))
         elif isinstance(greeting, Welcome):
             self._open_agent(event, greeting)
         elif event.address:
             self._open_peer(event.stream, event.address, greeting)
         else:
-            self._accept(event.stream, greeting)
+            self._accept_stream(event.stream, greeting)
 
-    def _accept(self, stream: int, hello: Hello) -> None:
+    def _accept_stream(self, stream: int, hello: Hello) -> None:
         self._inbound[stream] = hello
         self._send(stream, make_hello(self.identity, Role.ENTRY))
         if hello.role == Role.AGENT:
-            self.members.learn_agent(hello.address)
-            self._send(stream, Peers(self.members.list_entries(), []))
+            self.membership.record_agent(hello.address)
+            self._send(stream, Peers(self.membership.list_entries(), []))
             return
         if hello.address != self.identity.address:
-            self.members.learn_peer(hello.address)
-        known = [view.address for view in self.members.agents.values()]
-        self._send(stream, Peers(self.members.list_entries(), known))
-        self._send(stream, Revisions(self._list_held()))
+            self.membership.record_peer(hello.address)
+        known = [view.address for view in self.membership.agents.values()]
+        self._send(stream, Peers(self.membership.list_entries(), known))
+        self._send(stream, Revisions(self._list_revisions()))
 
     def _open_agent(self, event: StreamOpened, welcome: Welcome) -> None:
-        view = self.members.agents.get(event.address)
+        view = self.membership.agents.get(event.address)
         if view is None:
-            self._out.append(CloseStream(event.stream, "forgotten"))
+            self._actions.append(CloseStream(event.stream, "forgotten"))
             return
         if view.stream is not None:
-            self._out.append(CloseStream(view.stream, "replaced"))
-            self.members.agent_streams.pop(view.stream, None)
-        same = view.incarnation == welcome.incarnation
+            self._actions.append(CloseStream(view.stream, "replaced"))
+            self.membership.agent_streams.pop(view.stream, None)
+        same_incarnation = view.incarnation == welcome.incarnation
         view.process = welcome.process
         view.zone = welcome.zone
         view.connect(event.stream, welcome.incarnation, welcome.clock, self._now)
-        self.members.agent_streams[event.stream] = view
+        self.membership.agent_streams[event.stream] = view
         self.counts.add("streams_opened", Role.AGENT)
-        if same:
-            self._resolve(view)
+        if same_incarnation:
+            self._query_outstanding(view)
         else:
-            self._lose_outstanding(view, "the agent was restarted")
-        self._send(event.stream, Revisions(self._list_held()))
+            self._mark_outstanding_unknown(view, "the agent was restarted")
+        self._send(event.stream, Revisions(self._list_revisions()))
 
-    def _resolve(self, view: AgentView) -> None:
+    def _query_outstanding(self, view: AgentView) -> None:
         for key, sent in view.outstanding.items():
             self.counts.add("resolves_sent")
-            question = Resolve(key, sent.incarnation, sent.start_by)
-            self._send(view.stream or 0, question)
+            query = Resolve(key, sent.incarnation, sent.start_by)
+            self._send(view.stream or 0, query)
 
-    def _lose_outstanding(self, view: AgentView, detail: str) -> None:
+    def _mark_outstanding_unknown(self, view: AgentView, detail: str) -> None:
         outstanding = list(view.outstanding.values())
         view.outstanding.clear()
         for sent in outstanding:
-            self.dispatcher.lose(sent, detail)
+            self.dispatcher.mark_outcome_unknown(sent, detail)
 
     def _open_peer(self, stream: int, address: str, hello: Hello) -> None:
         if hello.incarnation == self.identity.incarnation:
-            # The balancer led back to this very process.
-            self._out.append(CloseStream(stream, "self"))
+            # The balancer routed the connection back to this process.
+            self._actions.append(CloseStream(stream, "self"))
             return
-        if self.members.is_balancer(address):
-            self.members.learn_peer(hello.address)
-            self._out.append(CloseStream(stream, "found"))
+        if self.membership.is_balancer(address):
+            self.membership.record_peer(hello.address)
+            self._actions.append(CloseStream(stream, "found"))
             return
-        peer = self.members.peers.setdefault(address, PeerView(address, self._now))
+        peer = self.membership.peers.setdefault(address, PeerView(address, self._now))
         peer.connect(stream, hello.process, self._now)
-        self.members.peer_streams[stream] = peer
+        self.membership.peer_streams[stream] = peer
         self.counts.add("streams_opened", Role.ENTRY)
-        self._send(stream, Revisions(self._list_held()))
+        self._send(stream, Revisions(self._list_revisions()))
 
-    def _close(self, event: StreamClosed) -> None:
+    def _handle_stream_closed(self, event: StreamClosed) -> None:
         self._inbound.pop(event.stream, None)
-        view = self.members.agent_streams.pop(event.stream, None)
+        view = self.membership.agent_streams.pop(event.stream, None)
         if view is not None and view.stream == event.stream:
             view.disconnect(self._now)
             self.counts.add("streams_lost", Role.AGENT)
-            self.members.dial_agents()
+            self.membership.dial_agents()
             return
-        peer = self.members.peer_streams.pop(event.stream, None)
+        peer = self.membership.peer_streams.pop(event.stream, None)
         if peer is not None:
             peer.disconnect(self._now)
             self.counts.add("streams_lost", Role.ENTRY)
             return
         if event.stream:
             return
-        self.members.note_failed_dial(event.address)
+        self.membership.record_failed_dial(event.address)
 
-    def _receive(self, event: Received) -> None:
+    def _handle_message(self, event: Received) -> None:
         message = event.message
-        view = self.members.agent_streams.get(event.stream)
+        view = self.membership.agent_streams.get(event.stream)
         if view is not None:
             view.heard_at = self._now
-            receiver = self._agent_receivers.get(type(message))
-            if receiver is None:
-                self._reject(event.stream)
+            handler = self._agent_message_handlers.get(type(message))
+            if handler is None:
+                self._reject_message(event.stream)
                 return
-            receiver(view, message)
+            handler(view, message)
             return
-        peer = self.members.peer_streams.get(event.stream)
+        peer = self.membership.peer_streams.get(event.stream)
         if peer is not None:
             peer.heard_at = self._now
-            receiver = self._peer_receivers.get(type(message))
-            if receiver is None:
-                self._reject(event.stream)
+            handler = self._peer_message_handlers.get(type(message))
+            if handler is None:
+                self._reject_message(event.stream)
                 return
-            receiver(peer, message)
+            handler(peer, message)
             return
-        self._receive_inbound(event)
+        self._handle_inbound_message(event)
 
-    def _receive_inbound(self, event: Received) -> None:
+    def _handle_inbound_message(self, event: Received) -> None:
         hello = self._inbound.get(event.stream)
         message = event.message
         if hello is None:
             return
         if isinstance(message, Document):
-            self._take_document(message)
+            self._accept_document(message)
         elif isinstance(message, Revisions):
-            self._send_newer(event.stream, message)
+            self._send_newer_documents(event.stream, message)
         elif isinstance(message, PeerLoad):
-            self._note_peer_load(hello.process, message)
+            self._update_peer_load(hello.process, message)
         elif isinstance(message, Heartbeat):
-            self._answer_digest(event.stream, message)
+            self._check_digest(event.stream, message)
         elif not isinstance(message, Peers | Goodbye):
-            self._reject(event.stream)
+            self._reject_message(event.stream)
 
-    def _reject(self, stream: int) -> None:
+    def _reject_message(self, stream: int) -> None:
         self.counts.add("streams_closed", "unexpected_message")
-        self._out.append(CloseStream(stream, "unexpected message"))
-        self._close(StreamClosed(stream))
+        self._actions.append(CloseStream(stream, "unexpected message"))
+        self._handle_stream_closed(StreamClosed(stream))
 
     # Membership
 
-    def _hear_peers(self, view: AgentView | PeerView, message: Peers) -> None:
+    def _handle_peers(self, view: AgentView | PeerView, message: Peers) -> None:
         del view
         for address in message.entries:
-            self.members.learn_peer(str(address))
+            self.membership.record_peer(str(address))
         for address in message.agents:
-            self.members.learn_agent(str(address))
+            self.membership.record_agent(str(address))
 
-    def _hear_endpoint(self, view: AgentView, state: EndpointState) -> None:
+    def _handle_endpoint_state(self, view: AgentView, state: EndpointState) -> None:
         if view.service != state.service:
-            old = self.dispatcher.services.get(view.service)
-            if old is not None and view in old.pool.views:
-                old.pool.views.remove(view)
+            previous = self.dispatcher.services.get(view.service)
+            if previous is not None and view in previous.pool.views:
+                previous.pool.views.remove(view)
         view.service = state.service
         view.slots = state.slots
         view.leaving = state.leaving
@@ -301,155 +301,160 @@
             return
         if view not in service.pool.views:
             service.pool.views.append(view)
-        service.wants = ToldDemand()
+        service.announced_demand = AnnouncedDemand()
         self.dispatcher.dispatch(service)
 
-    def _hear_load(self, view: AgentView, load: Load) -> None:
-        view.report(load.free, load.seen)
+    def _handle_load(self, view: AgentView, load: Load) -> None:
+        view.update_free_slots(load.free, load.seen)
         service = self.dispatcher.services.get(view.service)
         if service is not None:
             self.dispatcher.dispatch(service)
 
-    def _hear_agent(self, view: AgentView, heartbeat: Heartbeat) -> None:
+    def _handle_agent_heartbeat(self, view: AgentView, heartbeat: Heartbeat) -> None:
         view.set_clock(heartbeat.clock, self._now)
-        view.report(heartbeat.free, heartbeat.seen)
+        view.update_free_slots(heartbeat.free, heartbeat.seen)
         view.reported_failure_rate = heartbeat.failure_rate
-        self._informed = True
+        self._has_contact = True
         if view.stream is not None:
-            self._answer_digest(view.stream, heartbeat)
+            self._check_digest(view.stream, heartbeat)
         service = self.dispatcher.services.get(view.service)
         if service is not None:
-            self.dispatcher.judge(view, service)
+            self.dispatcher.eject_if_unhealthy(view, service)
             self.dispatcher.dispatch(service)
 
-    def _hear_goodbye(self, view: AgentView | PeerView, message: Goodbye) -> None:
+    def _handle_goodbye(self, view: AgentView | PeerView, message: Goodbye) -> None:
         del message
         if isinstance(view, AgentView):
             view.leaving = True
 
-    def _hear_peer(self, peer: PeerView, heartbeat: Heartbeat) -> None:
+    def _handle_peer_heartbeat(self, peer: PeerView, heartbeat: Heartbeat) -> None:
         if peer.stream is not None:
-            self._answer_digest(peer.stream, heartbeat)
+            self._check_digest(peer.stream, heartbeat)
 
-    def _hear_peer_load(self, peer: PeerView, load: PeerLoad) -> None:
-        self._note_peer_load(peer.process, load)
+    def _handle_peer_load(self, peer: PeerView, load: PeerLoad) -> None:
+        self._update_peer_load(peer.process, load)
 
-    def _note_peer_load(self, process: str, load: PeerLoad) -> None:
+    def _update_peer_load(self, process: str, load: PeerLoad) -> None:
         service = self.dispatcher.services.get(load.service)
         if service is not None:
             backlog = PeerBacklog(load.backlog, self._now)
             service.peer_backlogs[process] = backlog
-            service.quota.hear(process, load.demand, self._now)
+            service.quota.update_peer_demand(process, load.demand, self._now)
 
-    def _drain(self, event: DrainRequested) -> None:
-        for view in self.members.agents.values():
+    def _handle_drain_request(self, event: DrainRequested) -> None:
+        for view in self.membership.agents.values():
             if view.process == event.agent and view.stream is not None:
                 self._send(view.stream, Drain(event.operator))
 
     # Configuration
 
-    def _list_held(self) -> list[list[str | int]]:
-        held = self.catalog.list_revisions().items()
-        return [[service, revision] for service, revision in held]
+    def _list_revisions(self) -> list[list[str | int]]:
+        installed = self.catalog.list_revisions().items()
+        return [[service, revision] for service, revision in installed]
 
-    def _read_document(self, event: DocumentRead) -> None:
-        self._install(event.service, event.revision, event.text)
+    def _handle_document_read(self, event: DocumentRead) -> None:
+        self._install_document(event.service, event.revision, event.text)
 
-    def _see_table(self, event: TableSeen) -> None:
+    def _mark_table_read(self, event: TableRead) -> None:
         del event
-        self._table_seen = True
+        self._table_read = True
 
-    def _hear_document(self, view: AgentView | PeerView, document: Document) -> None:
+    def _handle_document(self, view: AgentView | PeerView, document: Document) -> None:
         del view
-        self._take_document(document)
+        self._accept_document(document)
 
-    def _take_document(self, document: Document) -> None:
-        self._informed = True
-        self._install(document.service, document.revision, document.text)
+    def _accept_document(self, document: Document) -> None:
+        self._has_contact = True
+        self._install_document(document.service, document.revision, document.text)
 
-    def _install(self, service: str, revision: int, text: str) -> None:
+    def _install_document(self, service: str, revision: int, text: str) -> None:
         if not self.catalog.install(service, revision, text):
             self.counts.add("documents_ignored", "not_newer")
             return
         self.counts.add("documents_installed")
         self.dispatcher.configure(service)
-        for view in self.members.agents.values():
+        for view in self.membership.agents.values():
             if view.service == service:
                 self._join_pool(view)
         document = Document(service, revision, text)
-        for stream in [*self.members.agent_streams, *self.members.peer_streams]:
+        for stream in [*self.membership.agent_streams, *self.membership.peer_streams]:
             self._send(stream, document)
 
-    def _compare(self, view: AgentView | PeerView, revisions: Revisions) -> None:
-        self._informed = True
+    def _handle_revisions(
+        self, view: AgentView | PeerView, revisions: Revisions
+    ) -> None:
+        self._has_contact = True
         view.revisions = {str(pair[0]): int(pair[1]) for pair in revisions.held}
         if view.stream is not None:
-            self._send_newer(view.stream, revisions)
+            self._send_newer_documents(view.stream, revisions)
 
-    def _send_newer(self, stream: int, revisions: Revisions) -> None:
+    def _send_newer_documents(self, stream: int, revisions: Revisions) -> None:
         theirs = {str(pair[0]): int(pair[1]) for pair in revisions.held}
-        for service, held in self.catalog.list_newer(theirs):
-            self._send(stream, Document(service, held.revision, held.text))
+        for service, installed in self.catalog.list_newer(theirs):
+            self._send(stream, Document(service, installed.revision, installed.text))
 
     def list_revisions_of(self, view: AgentView | PeerView) -> dict[str, int]:
-        """List what another process holds, as far as it has said."""
+        """List the revisions that another process last reported to hold.
+
+        :return: revision for each service name.
+        """
         if view.digest == self.catalog.digest:
             return self.catalog.list_revisions()
         return view.revisions
 
-    def _answer_digest(self, stream: int, heartbeat: Heartbeat) -> None:
-        view = self.members.find(stream)
+    def _check_digest(self, stream: int, heartbeat: Heartbeat) -> None:
+        view = self.membership.find_by_stream(stream)
         if view is not None:
             view.digest = heartbeat.digest
         if heartbeat.digest != self.catalog.digest:
-            self._send(stream, Revisions(self._list_held()))
+            self._send(stream, Revisions(self._list_revisions()))
 
     # Time
 
-    def _tick(self, event: Tick) -> None:
+    def _handle_tick(self, event: Tick) -> None:
         del event
-        self.dispatcher.entries = len(self.members.list_entries())
-        self.dispatcher.check_times()
+        self.dispatcher.entry_count = len(self.membership.list_entries())
+        self.dispatcher.check_timers()
         if self._now < self._next_heartbeat:
             return
         self._next_heartbeat = self._now + self.timing.heartbeat
-        self._check_silence()
-        self._forget()
-        self.members.dial_agents()
-        self.members.dial_peers()
-        self.members.search()
+        self._close_silent_streams()
+        self._expire_unreachable()
+        self.membership.dial_agents()
+        self.membership.dial_peers()
+        self.membership.discover_entries()
         self._send_heartbeats()
         self.dispatcher.dispatch_all()
 
-    def _check_silence(self) -> None:
-        views: list[AgentView | PeerView] = list(self.members.agent_streams.values())
-        views += self.members.peer_streams.values()
+    def _close_silent_streams(self) -> None:
+        views: list[AgentView | PeerView] = list(self.membership.agent_streams.values())
+        views += self.membership.peer_streams.values()
         for view in views:
             if self._now - view.heard_at > self.timing.silence:
                 stream = view.stream or 0
                 self.counts.add("streams_closed", "silence")
-                self._out.append(CloseStream(stream, "silence"))
-                self._close(StreamClosed(stream))
+                self._actions.append(CloseStream(stream, "silence"))
+                self._handle_stream_closed(StreamClosed(stream))
 
-    def _forget(self) -> None:
-        for view in list(self.members.agents.values()):
+    def _expire_unreachable(self) -> None:
+        for view in list(self.membership.agents.values()):
             lost_for = self._now - (view.lost_at or view.heard_at)
             if view.stream is not None:
                 continue
-            if lost_for > DOUBT_SECONDS and view.outstanding:
-                self._lose_outstanding(view, "the agent can't be reached")
+            if lost_for > RECONNECT_TIMEOUT_SECONDS and view.outstanding:
+                self._mark_outstanding_unknown(view, "the agent can't be reached")
             if lost_for > FORGET_SECONDS:
                 service = self.dispatcher.services.get(view.service)
                 if service is not None and view in service.pool.views:
                     service.pool.views.remove(view)
-                del self.members.agents[view.address]
-        self.members.forget_peers()
+                del self.membership.agents[view.address]
+        self.membership.forget_peers()
 
     def _send_heartbeats(self) -> None:
-        for stream, view in self.members.agent_streams.items():
+        for stream, view in self.membership.agent_streams.items():
             self._send(stream, self._make_heartbeat(view.acknowledged))
             view.acknowledged = 0
-        for stream in self.members.peer_streams:
+        for stream in self.membership.peer_streams:
             self._send(stream, self._make_heartbeat(0))
             for name, service in self.dispatcher.services.items():
                 backlog = service.queue.measure_backlog()
@@ -462,4 +467,4 @@
         return Heartbeat(self._now, self.catalog.digest, acknowledged, 0.0, 0, 0)
 
     def _send(self, stream: int, message: Message) -> None:
-        self._out.append(Send(stream, message))
+        self._actions.append(Send(stream, message))
--- a/src/godwitbank/_internal/core/peers.py
+++ b/src/godwitbank/_internal/core/peers.py
@@ -1,10 +1,13 @@
-"""Other entries, as one entry sees them."""
+"""State of other entries at one entry."""
 
-from godwitbank._internal.core.pool import FIRST_DIAL_DELAY, MAX_DIAL_DELAY
+from godwitbank._internal.core.pool import (
+    FIRST_DIAL_DELAY_SECONDS,
+    MAX_DIAL_DELAY_SECONDS,
+)
 
 
 class PeerView:
-    """Another entry; soft state."""
+    """State of another entry; soft state, rebuilt from its messages."""
 
     def __init__(self, address: str, now: float) -> None:
         self.address = address
@@ -13,25 +16,25 @@
         self.heard_at = now
         self.dialling = False
         self.dial_at = now
-        self.dial_delay = FIRST_DIAL_DELAY
+        self.dial_delay = FIRST_DIAL_DELAY_SECONDS
         self.revisions: dict[str, int] = {}
         self.digest = 0
 
     def connect(self, stream: int, process: str, now: float) -> None:
-        """Note a new stream."""
+        """Record a new stream."""
         self.stream = stream
         self.process = process
         self.heard_at = now
         self.dialling = False
-        self.dial_delay = FIRST_DIAL_DELAY
+        self.dial_delay = FIRST_DIAL_DELAY_SECONDS
 
     def disconnect(self, now: float) -> None:
-        """Note that the stream is gone."""
+        """Record that the stream was lost."""
         self.stream = None
-        self.dial_at = now + FIRST_DIAL_DELAY
+        self.dial_at = now + FIRST_DIAL_DELAY_SECONDS
 
     def postpone_dial(self, now: float) -> None:
-        """Note a failed dial."""
+        """Double the delay before the next dial, after one failed."""
         self.dialling = False
         self.dial_at = now + self.dial_delay
-        self.dial_delay = min(self.dial_delay * 2, MAX_DIAL_DELAY)
+        self.dial_delay = min(self.dial_delay * 2, MAX_DIAL_DELAY_SECONDS)
--- a/src/godwitbank/_internal/core/quota.py
+++ b/src/godwitbank/_internal/core/quota.py
@@ -1,16 +1,16 @@
-"""A team's quota of task starts, divided among entries by observed demand."""
+"""A team's quota of task starts, divided among entries by their demand."""
 
 from typing import NamedTuple
 
-DEMAND_HALF_LIFE = 2.0
-"""Seconds in which a past demand counts half."""
+DEMAND_HALF_LIFE_SECONDS = 2.0
+"""Half-life, in seconds, of the demand estimate."""
 
-FLOOR = 1.0
-"""Starts a second added to each entry's demand, so that none has no share."""
+BASE_DEMAND_STARTS_PER_SECOND = 1.0
+"""Added to each entry's demand, so that an idle entry still has a share."""
 
 
 class PeerDemand(NamedTuple):
-    """What another entry said of its demand, in starts a second."""
+    """Demand that another entry reported, in starts per second."""
 
     demand: float
     heard_at: float
@@ -19,60 +19,64 @@
 class Quota:
     """Token bucket of one service at one entry.
 
-    A job larger than the bucket may run the bucket into debt, since it can't
-    be admitted in part; later submissions wait until the debt is paid.
+    A job can't be admitted in part, so one with more tasks than there are tokens
+    makes the balance negative; later submissions are refused until it is positive.
+
+    :param rate: starts per second of all entries together; 0 for no limit.
+    :param burst: seconds of unused quota that the bucket holds.
+    :ivar demand: estimated starts per second that this entry's callers ask for.
     """
 
-    PEER_LAPSE = 5.0
+    PEER_DEMAND_LAPSE_SECONDS = 5.0
 
     def __init__(self, rate: float, burst: float, now: float) -> None:
         self.rate = rate
         self.burst = burst
         self.demand = 0.0
         self._tokens = rate * burst
-        self._updated = now
+        self._refilled_at = now
         self._demand_at = now
         self._peers: dict[str, PeerDemand] = {}
 
     def configure(self, rate: float, burst: float) -> None:
-        """Put a new quota in force."""
+        """Apply a changed quota; the bucket starts full when a limit is introduced."""
         if rate > 0 >= self.rate:
             self._tokens = rate * burst
         self.rate = rate
         self.burst = burst
 
-    def hear(self, peer: str, demand: float, now: float) -> None:
-        """Note another entry's demand."""
+    def update_peer_demand(self, peer: str, demand: float, now: float) -> None:
+        """Record the demand that another entry reported, in starts per second."""
         self._peers[peer] = PeerDemand(demand, now)
 
     def measure_share(self, now: float) -> float:
-        """Tell this entry's share of the quota, 0 to 1."""
+        """Return this entry's share of the quota, 0 to 1."""
         others = [
-            peer.demand + FLOOR
+            peer.demand + BASE_DEMAND_STARTS_PER_SECOND
             for peer in self._peers.values()
-            if now - peer.heard_at < self.PEER_LAPSE
+            if now - peer.heard_at < self.PEER_DEMAND_LAPSE_SECONDS
         ]
-        own = self.demand + FLOOR
+        own = self.demand + BASE_DEMAND_STARTS_PER_SECOND
         return own / (own + sum(others))
 
-    def take(self, starts: int, now: float) -> float:
-        """Take tokens for a submission.
+    def take_tokens(self, starts: int, now: float) -> float:
+        """Take one token for each start of a submission.
 
-        :return: 0 when admitted, else seconds after which to come back.
+        :return: 0 if admitted, else seconds after which the caller may retry.
         """
-        self._note_demand(starts, now)
+        self._record_demand(starts, now)
         if self.rate <= 0:
             return 0.0
         rate = self.rate * self.measure_share(now)
-        earned = (now - self._updated) * rate
+        earned = (now - self._refilled_at) * rate
         self._tokens = min(self._tokens + earned, rate * self.burst)
-        self._updated = now
+        self._refilled_at = now
         if self._tokens <= 0:
             return max((1.0 - self._tokens) / rate, 0.05)
         self._tokens -= starts
         return 0.0
 
-    def _note_demand(self, starts: int, now: float) -> None:
-        decay = 0.5 ** ((now - self._demand_at) / DEMAND_HALF_LIFE)
-        self.demand = self.demand * decay + starts / (DEMAND_HALF_LIFE / 0.6931)
+    def _record_demand(self, starts: int, now: float) -> None:
+        decay = 0.5 ** ((now - self._demand_at) / DEMAND_HALF_LIFE_SECONDS)
+        self.demand = self.demand * decay + starts / (DEMAND_HALF_LIFE_SECONDS / 0.6931)
         self._demand_at = now
--- a/src/godwitbank/_internal/core/runs/entry.py
+++ b/src/godwitbank/_internal/core/runs/entry.py
@@ -18,31 +18,31 @@
 from godwitbank._internal.core.identity import Identity, make_hello
 from godwitbank._internal.core.pressure import Pressure
 from godwitbank._internal.core.runs.addresses import ENTRIES_PER_AGENT
-from godwitbank._internal.core.runs.deployment import USUAL, Deployment
+from godwitbank._internal.core.runs.deployment import DEFAULT_DEPLOYMENT, Deployment
 from godwitbank._internal.core.runs.dispatcher import Dispatcher
 from godwitbank._internal.core.runs.evacuations import (
     Evacuations,
-    make_message,
-    read_message,
+    decode_evacuation,
+    encode_evacuation,
 )
 from godwitbank._internal.core.runs.events import (
     AddressesRead,
-    CallerGone,
+    CallerDisconnected,
     ConfigurationRead,
     EvacuationRead,
     JobCancelled,
     JobSubmitted,
-    Lagged,
-    Note,
-    Quiet,
+    LagMeasured,
+    LogDecision,
     RunAction,
+    ShutdownComplete,
 )
 from godwitbank._internal.core.runs.fleet import AgentView
 from godwitbank._internal.core.runs.forwarding import Forwarding
 from godwitbank._internal.core.runs.handover import Handover
 from godwitbank._internal.core.runs.intake import Intake
 from godwitbank._internal.core.runs.links import Link, Links
-from godwitbank._internal.core.runs.policy import DEFAULT, Policy
+from godwitbank._internal.core.runs.policy import DEFAULT_POLICY, Policy
 from godwitbank._internal.core.runs.routes import RouteTable
 from godwitbank._internal.models.jobs import (
     Configuration,
@@ -84,11 +84,11 @@
     Yielded,
 )
 
-NEWS_SECONDS = 1.0
+ANNOUNCE_ENTRIES_SECONDS = 1.0
 """Seconds between two messages about entries newly known. Whoever opens a stream is
 told of all at once; an agent has other entries meanwhile."""
 
-TICK = 0.05
+DEADLINE_CHECK_SECONDS = 0.05
 """Seconds between looks at deadlines while jobs are in flight."""
 
 
@@ -110,9 +110,9 @@
         rng: Random,
         now: float,
         counts: Counts | None = None,
-        policy: Policy = DEFAULT,
+        policy: Policy = DEFAULT_POLICY,
         entries_per_agent: int = ENTRIES_PER_AGENT,
-        deployment: Deployment = USUAL,
+        deployment: Deployment = DEFAULT_DEPLOYMENT,
     ) -> None:
         self.identity = identity
         self._entries_per_agent = entries_per_agent
@@ -137,14 +137,14 @@
             rng,
             identity.zone,
         )
-        self.dispatcher.hand_on = self.forwarding.try_forward_for_room
+        self.dispatcher.try_forward = self.forwarding.try_forward_for_capacity
         self.forwarding.find_home = self.handover.find_home
-        self.forwarding.acquire = self.handover.acquire_at_once
+        self.forwarding.acquire = self.handover.try_acquire
         self.forwarding.resubmit = self.handover.submit_contested
-        self.forwarding.on_gone = self.dispatcher.on_gone
-        self.forwarding.on_left = self.handover.leave_to
+        self.forwarding.on_job_finished = self.dispatcher.on_job_removed
+        self.forwarding.on_job_unresolved = self.handover.record_forwarded
         self.handover.join = self.forwarding.join_at
-        self.handover.has_handed_on = self.forwarding.has_handed_on
+        self.handover.has_transferred = self.forwarding.has_transferred
         self.intake = Intake(
             self.routes,
             self.dispatcher,
@@ -164,23 +164,23 @@
             ConfigurationRead: self._read_configuration,
             EvacuationRead: self._read_evacuation,
             JobSubmitted: self.intake.submit,
-            CallerGone: self.intake.lose_caller,
+            CallerDisconnected: self.intake.handle_caller_loss,
             JobCancelled: self.intake.cancel,
             StreamOpened: self._open,
             StreamClosed: self._close,
             Received: self._receive,
             StopRequested: self._stop,
-            Lagged: self._note_lag,
+            LagMeasured: self._note_lag,
             Tick: self._tick,
         }
         self._agent_receivers: dict[type, Callable] = {
-            RunOutcome: self.dispatcher.hear_outcome,
-            RunBegun: self.dispatcher.hear_begun,
-            RunSlow: self.dispatcher.hear_slow,
+            RunOutcome: self.dispatcher.handle_run_outcome,
+            RunBegun: self.dispatcher.handle_run_begun,
+            RunSlow: self.dispatcher.handle_run_slow,
             Room: self._hear_room,
             EndpointNews: self._hear_news,
             Holding: self._hear_holding,
-            Claimed: self.handover.hear_claimed,
+            Claimed: self.handover.handle_claimed,
             Pulse: self._hear_agents_pulse,
             Probe: self._hear_probe,
         }
@@ -189,35 +189,35 @@
             Rules: self._hear_rules,
             Evacuated: self._hear_evacuated,
             Peers: self._hear_peers,
-            Took: self.handover.hear_took,
-            Yield: self.handover.hear_yield,
-            Yielded: self.intake.hear_yielded,
-            Acquire: self.handover.hear_acquire,
-            Acquired: self.handover.hear_acquired,
-            Release: self.handover.hear_release,
-            Join: self.intake.hear_join,
-            Locate: self.handover.whereabouts.hear_locate,
-            Located: self.handover.whereabouts.hear_located,
+            Took: self.handover.handle_took,
+            Yield: self.handover.handle_yield,
+            Yielded: self.intake.handle_yielded,
+            Acquire: self.handover.handle_acquire,
+            Acquired: self.handover.handle_acquired,
+            Release: self.handover.handle_release,
+            Join: self.intake.handle_join,
+            Locate: self.handover.reachability.handle_locate,
+            Located: self.handover.reachability.handle_located,
             Goodbye: self._hear_goodbye,
-            Forward: self.intake.hear_forward,
-            Forwarded: self.forwarding.hear_result,
-            Withdraw: self.intake.hear_withdraw,
+            Forward: self.intake.handle_forward,
+            Forwarded: self.forwarding.handle_result,
+            Withdraw: self.intake.handle_withdraw,
         }
 
     def handle(self, event: object, now: float) -> list[RunAction]:
         """Take one event and return what has to be done."""
         self._now = now
         self._out = []
-        self.dispatcher.begin(now, self._out.append)
-        self.handover.begin(now, self._out.append)
-        self.intake.begin(now, self._out.append)
-        if self.links.begin(now):
+        self.dispatcher.begin_event(now, self._out.append)
+        self.handover.begin_event(now, self._out.append)
+        self.intake.begin_event(now, self._out.append)
+        if self.links.begin_event(now):
             self._wake()
         self._handlers[type(event)](event)
-        self.handover.check()
+        self.handover.process_due()
         self._check_quiet()
-        actions = self.intake.route(self._out)
-        self.links.note_sent(actions, now)
+        actions = self.intake.route_answers(self._out)
+        self.links.record_sent(actions, now)
         return actions
 
     @property
@@ -227,16 +227,14 @@
         return min(self.links.next_wakeup(), self._tick_at if busy else math.inf)
 
     @property
-    def sheds(self) -> bool:
+    def sheds_load(self) -> bool:
         """Whether callers are to be refused before their requests are read."""
-        return self.forwarding.sheds
+        return self.forwarding.sheds_load
 
     @property
     def ready(self) -> bool:
         """Whether the balancer should send callers here."""
-        return (
-            bool(self.routes.version) and self.handover.informed and not self.stopping
-        )
+        return bool(self.routes.version) and self.handover.synced and not self.stopping
 
     def find_queue(self, host: str, path: str) -> QueueRules | None:
         """Find the queue of a request."""
@@ -258,14 +256,18 @@
             "jobs": len(self.dispatcher.jobs),
             "lag": round(self.pressure.lag, 3),
             "agents": [
-                {"agent": view.address, "open": view.open, "free": list(view.free)}
+                {
+                    "agent": view.address,
+                    "open": view.accepts_runs,
+                    "free": list(view.free),
+                }
                 for view in self.dispatcher.fleet.views.values()
             ],
             "peers": [link.hello.process for link in self.links.list_peers()],
         }
 
     def _note(self, event: str, request: str = "", **fields: object) -> None:
-        self._out.append(Note(event, request, fields))
+        self._out.append(LogDecision(event, request, fields))
 
     def _send(self, stream: int, message: Message) -> None:
         self._out.append(Send(stream, message))
@@ -273,7 +275,7 @@
     # Streams
 
     def _learn(self, event: AddressesRead) -> None:
-        self._news += self.links.addresses.learn(event.addresses, self._now)
+        self._news += self.links.addresses.add(event.addresses, self._now)
         self._dial()
 
     def _tell_news(self) -> None:
@@ -284,7 +286,7 @@
         """
         if not self._news or self._now < self._news_at:
             return
-        self._news_at = self._now + NEWS_SECONDS
+        self._news_at = self._now + ANNOUNCE_ENTRIES_SECONDS
         news, self._news = Peers(self._news, []), []
         for link in self.links:
             self._send(link.stream, news)
@@ -300,7 +302,7 @@
             self.counts.add("streams_refused", "greeting")
             self._out.append(CloseStream(event.stream, "unknown greeting"))
             return
-        link = self.links.open(event.stream, hello, event.address, self._now)
+        link = self.links.add_stream(event.stream, hello, event.address, self._now)
         if link is None:
             self._out.append(CloseStream(event.stream, "self"))
             return
@@ -310,10 +312,10 @@
         if hello.role == Role.AGENT:
             self._open_agent(link)
             return
-        self._news += self.links.addresses.learn([hello.address], self._now)
+        self._news += self.links.addresses.add([hello.address], self._now)
         self._dial()
         self._send(event.stream, Peers(self.links.addresses.list_known(), []))
-        self.handover.regain_peer(link)
+        self.handover.handle_peer_connected(link)
         self._count_entries()
         # Before the rules, which make the other end ready to place runs.
         self._send_evacuation(event.stream)
@@ -322,7 +324,7 @@
     def _count_entries(self) -> None:
         entries = len(self.links.list_peers()) + 1
         overlap = min(1.0, self._entries_per_agent / entries)
-        self.dispatcher.admission.overlap = overlap
+        self.dispatcher.admission.agent_overlap = overlap
 
     def _open_agent(self, link: Link) -> None:
         hello = link.hello
@@ -337,26 +339,26 @@
         self._send(link.stream, Peers(self.links.addresses.list_known(), []))
 
     def _close(self, event: StreamClosed) -> None:
-        link = self.links.close(event.stream, event.address, self._now)
+        link = self.links.remove_stream(event.stream, event.address, self._now)
         if link is None:
             return
         self.counts.add("streams_lost", link.hello.role)
         self._note("stream_lost", role=link.hello.role, process=link.hello.process)
         view = self.dispatcher.fleet.views.get(event.stream)
         if view is not None:
-            self.dispatcher.lose_view(view)
+            self.dispatcher.handle_agent_loss(view)
             return
-        self.handover.whereabouts.drop_stream(event.stream)
+        self.handover.reachability.drop_stream(event.stream)
         if self.links.find(link.hello.incarnation) is None:
-            self.handover.lose_peer(link)
+            self.handover.handle_peer_loss(link)
             self._count_entries()
-            self.dispatcher.admission.forget(link.hello.incarnation)
-        self.intake.drop_stream(event.stream)
+            self.dispatcher.admission.forget_peer(link.hello.incarnation)
+        self.intake.handle_stream_loss(event.stream)
         self.handover.drop_stream(event.stream)
 
     def _wake(self) -> None:
         """Begin anew after this process has stood still for longer than others wait."""
-        self.handover.wake()
+        self.handover.resume_after_pause()
         for link in self.links:
             self._drop_link(link.stream, "stood_still")
         for job in list(self.dispatcher.jobs.values()):
@@ -368,8 +370,8 @@
         self._close(StreamClosed(stream))
 
     def _receive(self, event: Received) -> None:
-        doubted = self.links.doubts(event.stream)
-        link = self.links.hear(event.stream, self._now)
+        doubted = self.links.has_pending_probe(event.stream)
+        link = self.links.record_frame(event.stream, self._now)
         if link is None:
             self._drop_link(event.stream, "silence")
             return
@@ -380,7 +382,7 @@
             self._drop_link(event.stream, "unexpected message")
             return
         if view is None:
-            self.handover.whereabouts.hear_peer(link)
+            self.handover.reachability.handle_peer_alive(link)
         receiver(view or link, event.message)
         if doubted and view is not None:
             self.dispatcher.dispatch(view.service, view)
@@ -388,29 +390,29 @@
     # Agents
 
     def _hear_room(self, view: AgentView, room: Room) -> None:
-        view.hear_room(room)
+        view.update_free_capacity(room)
         self.dispatcher.dispatch(view.service, view)
 
     def _hear_news(self, view: AgentView, news: EndpointNews) -> None:
         if view.news is not None and view.news.instance != news.instance:
             view.health.clear()
-        self.dispatcher.fleet.hear_news(view, news)
+        self.dispatcher.fleet.update_endpoint(view, news)
         self._note("endpoint_news", agent=view.address, open=news.open)
         if news.settled:
-            self.dispatcher.settle_agent(view)
+            self.dispatcher.release_orphaned_runs(view)
         self.dispatcher.dispatch(view.service)
 
     def _hear_agents_pulse(self, view: AgentView, pulse: Pulse) -> None:
         view.slowness = pulse.slowness
         view.lag = pulse.lag
-        view.link.hear_clock(pulse.clock, self._now)
+        view.link.update_clock(pulse.clock, self._now)
 
     def _hear_probe(self, view: AgentView, probe: Probe) -> None:
-        view.link.hear_clock(probe.clock, self._now)
-        self._send(view.link.stream, Alive(view.link.read_clock(self._now)))
+        view.link.update_clock(probe.clock, self._now)
+        self._send(view.link.stream, Alive(view.link.estimate_clock(self._now)))
 
     def _hear_holding(self, view: AgentView, holding: Holding) -> None:
-        view.link.hear_clock(holding.clock, self._now)
+        view.link.update_clock(holding.clock, self._now)
         self.dispatcher.reconcile(view, holding.tasks)
 
     # Peers
@@ -421,8 +423,10 @@
 
     def _hear_pulse(self, link: Link, pulse: Pulse) -> None:
         link.lag = pulse.lag
-        link.hear_clock(pulse.clock, self._now)
-        self.dispatcher.admission.hear(link.hello.incarnation, pulse.backlog)
+        link.update_clock(pulse.clock, self._now)
+        self.dispatcher.admission.update_peer_backlog(
+            link.hello.incarnation, pulse.backlog
+        )
 
     def _hear_goodbye(self, link: Link, message: Goodbye) -> None:
         del message
@@ -458,7 +462,7 @@
         self._install_evacuation(event.evacuation, "store")
 
     def _hear_evacuated(self, link: Link, message: Evacuated) -> None:
-        told = read_message(message)
+        told = decode_evacuation(message)
         if self.evacuations.is_outdated(told):
             self._send_evacuation(link.stream)
             return
@@ -476,11 +480,11 @@
 
     def _send_evacuation(self, stream: int) -> None:
         if self.evacuations.known:
-            self._send(stream, make_message(self.evacuations.newest))
+            self._send(stream, encode_evacuation(self.evacuations.newest))
 
     # Time
 
-    def _note_lag(self, event: Lagged) -> None:
+    def _note_lag(self, event: LagMeasured) -> None:
         change = self.pressure.observe(event.seconds, self._now)
         if change is not None:
             self.counts.add("pressure_changes", change.event)
@@ -491,31 +495,31 @@
         self._end_silent()
         self._dial()
         self._tell_news()
-        for link in self.links.list_unproved(self._now):
-            self._send(link.stream, Alive(link.read_clock(self._now)))
-        peers = self.links.list_unproved_peers(self._now)
+        for link in self.links.list_due_heartbeats(self._now):
+            self._send(link.stream, Alive(link.estimate_clock(self._now)))
+        peers = self.links.list_due_peer_heartbeats(self._now)
         if peers:
             self._tell_peers(peers)
         if self._now >= self._tick_at:
-            self._tick_at = self._now + TICK
+            self._tick_at = self._now + DEADLINE_CHECK_SECONDS
             self.forwarding.give_up_expired()
             self.handover.give_up_expired()
             self.handover.start_delayed()
-            self.dispatcher.check_times()
+            self.dispatcher.check_deadlines()
 
     def _end_silent(self) -> None:
-        silent = self.links.list_silent(self._now)
+        silent = self.links.list_timed_out(self._now)
         for link in silent:
             self._drop_link(link.stream, "silence")
-        for link in self.links.probe(self._now) if silent else ():
+        for link in self.links.start_probes(self._now) if silent else ():
             self.counts.add("streams_probed")
             self._send(link.stream, Probe(self._now))
 
     def _tell_peers(self, peers: list[Link]) -> None:
-        serves = self.ready and self.dispatcher.fleet.has_open
+        serves = self.ready and self.dispatcher.fleet.has_accepting_agent
         lag = self.pressure.mean if serves else math.inf
         pulse = Pulse(self.dispatcher.measure_backlog(), 1.0, self._now, lag)
-        self.handover.tell_peers()
+        self.handover.announce_changes()
         for link in peers:
             self._send(link.stream, pulse)
 
@@ -523,7 +527,7 @@
         del event
         self.stopping = True
         self._stopped_at = self._now
-        self.dispatcher.ends_at = self._now + STOP_SECONDS
+        self.dispatcher.shutdown_at = self._now + STOP_SECONDS
         self._note("stopping", jobs=len(self.dispatcher.jobs))
 
     def _end_jobs(self) -> None:
@@ -536,7 +540,7 @@
     def _check_quiet(self) -> None:
         if not self.stopping or self._quiet:
             return
-        if self._now >= self.dispatcher.ends_at:
+        if self._now >= self.dispatcher.shutdown_at:
             self._end_jobs()
             self._quiet = True
         elif self._now >= self._stopped_at + UNREADY_SECONDS:
@@ -548,5 +552,5 @@
                 # look for any.
                 self._send(link.stream, Goodbye("stopping"))
             # What still arrives is refused, so that nothing is taken and cut.
-            self.dispatcher.ends_at = self._now
-            self._out.append(Quiet())
+            self.dispatcher.shutdown_at = self._now
+            self._out.append(ShutdownComplete())
--- a/src/godwitbank/_internal/core/runs/estimates.py
+++ b/src/godwitbank/_internal/core/runs/estimates.py
@@ -1,58 +1,62 @@
-"""Expected run times: what callers guess, mended by what was observed."""
+"""Predicted run times: the callers' estimates, corrected by the observed run times."""
 
 import math
 
-MEMORY_RUNS = 200
-"""Runs over which a queue's mean is taken; some seconds of a busy queue."""
+MEAN_WINDOW_RUNS = 200
+"""Runs over which a queue's mean is taken; a busy queue has them in a few seconds."""
 
-GUESS_WEIGHT = 0.4
-"""Weight of the caller's guess against the queue's mean, both as logarithms.
+CALLER_ESTIMATE_WEIGHT = 0.4
+"""Weight of the caller's estimate against the queue's mean, both as logarithms.
 
-Guesses are wrong by 40 % and more; the mean alone ignores that jobs differ.
+Callers' estimates are wrong by 40 % and more, but the mean alone ignores differences
+between jobs.
 """
 
-FIRST_GUESSES = 5
-"""Runs that the callers' own guess counts for before any was observed."""
+PRIOR_RUNS = 5
+"""Runs that the caller's estimate counts for in addition to the observed ones, so that
+the mean of a few runs has little weight."""
 
 
-class QueueEstimate:
-    """Run times of one queue at an ordinary endpoint."""
+class QueueRunTimes:
+    """Mean run time of one queue's tasks at an ordinary endpoint."""
 
     def __init__(self) -> None:
         self._log_mean = 0.0
         self._runs = 0
 
     def observe(self, seconds: float) -> None:
-        """Note the run time of a task that was done."""
-        self._runs = min(self._runs + 1, MEMORY_RUNS)
+        """Record the run time, in seconds, of a run that was done."""
+        self._runs = min(self._runs + 1, MEAN_WINDOW_RUNS)
         value = math.log(max(seconds, 1e-3))
         self._log_mean += (value - self._log_mean) / self._runs
 
-    def expect(self, guess: float) -> float:
-        """Expect a run time, in seconds, given the caller's guess."""
-        guess_log = math.log(max(guess, 1e-3))
+    def predict(self, estimate: float) -> float:
+        """Predict a run time from the caller's estimate, both in seconds."""
+        estimate_log = math.log(max(estimate, 1e-3))
         if not self._runs:
-            return math.exp(guess_log)
-        trust = (1 - GUESS_WEIGHT) * self._runs / (self._runs + FIRST_GUESSES)
-        return math.exp(trust * self._log_mean + (1 - trust) * guess_log)
+            return math.exp(estimate_log)
+        mean_weight = (
+            (1 - CALLER_ESTIMATE_WEIGHT) * self._runs / (self._runs + PRIOR_RUNS)
+        )
+        return math.exp(mean_weight * self._log_mean + (1 - mean_weight) * estimate_log)
 
 
-class Estimates:
-    """Estimates of all queues."""
+class RunTimeEstimates:
+    """Predicts the run times of the tasks of all queues."""
 
     def __init__(self) -> None:
-        self._queues: dict[str, QueueEstimate] = {}
+        self._queues: dict[str, QueueRunTimes] = {}
 
-    def expect(self, queue: str, guess: float) -> float:
-        """Expect a run time of a task, in seconds."""
-        return self._get(queue).expect(guess)
+    def predict(self, queue: str, estimate: float) -> float:
+        """Predict a run time from the caller's estimate, both in seconds."""
+        return self._get(queue).predict(estimate)
 
     def observe(self, queue: str, seconds: float) -> None:
-        """Note a run time."""
+        """Record the run time, in seconds, of a run that was done."""
         self._get(queue).observe(seconds)
 
-    def _get(self, queue: str) -> QueueEstimate:
-        found = self._queues.get(queue)
-        if found is None:
-            found = self._queues[queue] = QueueEstimate()
-        return found
+    def _get(self, queue: str) -> QueueRunTimes:
+        run_times = self._queues.get(queue)
+        if run_times is None:
+            run_times = self._queues[queue] = QueueRunTimes()
+        return run_times
--- a/src/godwitbank/_internal/core/runs/health.py
+++ b/src/godwitbank/_internal/core/runs/health.py
@@ -1,32 +1,38 @@
-"""How well one endpoint serves: its speed, and whether it fails what it starts."""
+"""Health of one endpoint: its speed and its failure rate."""
 
 import math
 
-SPEED_WEIGHT = 0.12
-"""Weight of the newest run in an endpoint's slowness; about eight runs count."""
+SLOWNESS_WEIGHT = 0.12
+"""Weight of the newest run in an endpoint's slowdown; averages about eight runs."""
 
 FAILURE_WEIGHT = 0.3
 """Weight of the newest run in an endpoint's failure share."""
 
-EJECT_SHARE = 0.6
-"""Failure share above which an endpoint gets no work: three failures in a row
-from a clean record, which sound ones (0.2 % of runs fail) practically never
-reach, and a job that can never run doesn't reach alone."""
+EJECTION_FAILURE_SHARE = 0.6
+"""Failure share from which an endpoint is ejected: three consecutive failures from a
+clean record. Healthy endpoints, where 0.2 % of runs fail, practically never reach it,
+and neither does a single job that can never succeed."""
 
-EJECT_SECONDS = 1.5
-"""Seconds of the first ejection; doubled with each further one in a row."""
+FIRST_EJECTION_SECONDS = 1.5
+"""Seconds of the first ejection; doubled with each consecutive one."""
 
-MAX_EJECT_SECONDS = 6.0
+MAX_EJECTION_SECONDS = 6.0
 
-PROBES = 1
-"""Runs at once that an endpoint gets after an ejection until one is done."""
+MAX_PROBE_RUNS = 1
+"""Concurrent runs that an ejected endpoint gets afterwards until one succeeds."""
 
 
-class Health:
-    """One endpoint's record at one entry."""
+class EndpointHealth:
+    """Run times and failures of one endpoint as seen by one entry.
+
+    :ivar log_slowdown: moving average of the logarithm of actual by predicted run time.
+    :ivar failure_share: moving average of the share of runs that failed.
+    :ivar ejected_until: time until which the endpoint gets no runs.
+    :ivar probing: whether it was ejected and no run has succeeded since.
+    """
 
     def __init__(self) -> None:
-        self.slowness = 0.0
+        self.log_slowdown = 0.0
         self.failure_share = 0.0
         self.ejected_until = 0.0
         self.probing = False
@@ -34,49 +40,58 @@
         self._ejections = 0
         self._last_job = ""
 
-    def factor(self) -> float:
-        """Tell by what factor runs take longer here than elsewhere."""
+    def slowdown_factor(self) -> float:
+        """Return the factor by which runs take longer here than predicted."""
         return self._factor
 
-    def note_done(self, elapsed: float, expected: float) -> None:
-        """Note a run that was done, with its run time in seconds."""
+    def record_success(self, elapsed: float, expected: float) -> None:
+        """Record a run that succeeded.
+
+        :param elapsed: run time, in seconds.
+        :param expected: predicted run time, in seconds.
+        """
         ratio = math.log(max(elapsed, 1e-3) / max(expected, 1e-3))
-        self.slowness += SPEED_WEIGHT * (ratio - self.slowness)
-        # Read for every agent at every choice, far oftener than runs end.
-        self._factor = math.exp(self.slowness)
+        self.log_slowdown += SLOWNESS_WEIGHT * (ratio - self.log_slowdown)
+        # Cached, because every placement reads it for every agent, much more often
+        # than runs end.
+        self._factor = math.exp(self.log_slowdown)
         self.failure_share *= 1 - FAILURE_WEIGHT
         self._ejections = 0
         self.probing = False
 
-    def note_failed(self, job: str, now: float) -> bool:
-        """Note a run that failed or stood still.
+    def record_failure(self, job: str, now: float) -> bool:
+        """Record a run that failed or stalled.
 
-        A job that can never be done fails everywhere; only the first of its
-        failures in a row counts here, or it would eject sound endpoints.
+        A job that can never succeed fails everywhere. Only the first of its consecutive
+        failures counts here, otherwise it would eject healthy endpoints.
 
-        :return: whether the endpoint is ejected by it.
+        :return: whether this failure ejects the endpoint.
         """
         if now < self.ejected_until:
-            # Runs sent before; they say nothing about how it is afterwards.
+            # The run was sent before the ejection and says nothing about the
+            # endpoint's health afterwards.
             return False
         if job == self._last_job and not self.probing:
             return False
         self._last_job = job
         self.failure_share += FAILURE_WEIGHT * (1 - self.failure_share)
-        if self.failure_share < EJECT_SHARE and not self.probing:
+        if self.failure_share < EJECTION_FAILURE_SHARE and not self.probing:
             return False
         self._ejections += 1
-        seconds = EJECT_SECONDS * 2 ** (self._ejections - 1)
-        self.ejected_until = now + min(seconds, MAX_EJECT_SECONDS)
+        seconds = FIRST_EJECTION_SECONDS * 2 ** (self._ejections - 1)
+        self.ejected_until = now + min(seconds, MAX_EJECTION_SECONDS)
         self.probing = True
         return True
 
     def clear(self) -> None:
-        """Forget the record; another boot may be of another kind."""
+        """Reset the record; a restarted endpoint may be of another kind."""
         self.__init__()  # type: ignore[misc]
 
-    def allows(self, runs: int, now: float) -> bool:
-        """Tell whether another run may be sent beside ``runs`` at work."""
+    def allows_run(self, runs: int, now: float) -> bool:
+        """Return whether one more run may be sent.
+
+        :param runs: number of runs of this entry at the endpoint.
+        """
         if now < self.ejected_until:
             return False
-        return not self.probing or runs < PROBES
+        return not self.probing or runs < MAX_PROBE_RUNS
--- a/src/godwitbank/_internal/core/runs/intake.py
+++ b/src/godwitbank/_internal/core/runs/intake.py
@@ -1,36 +1,31 @@
-"""Which jobs an entry takes, which it hands on, and who waits for them."""
+"""Intake of jobs: accepts, forwards or refuses them, and tracks their callers."""
 
 from collections.abc import Callable, Iterable
 
 from godwitbank._internal.core.counters import Counts
 from godwitbank._internal.core.pressure import Pressure
-from godwitbank._internal.core.runs.admission import COME_BACK
-from godwitbank._internal.core.runs.adoption import Adoption
+from godwitbank._internal.core.runs.admission import RETRY_AFTER_SECONDS
 from godwitbank._internal.core.runs.dispatcher import Dispatcher
 from godwitbank._internal.core.runs.events import (
-    Answer,
-    CallerGone,
+    AnswerCaller,
+    CallerDisconnected,
     JobCancelled,
     JobSubmitted,
-    Note,
+    LogDecision,
     RunAction,
 )
 from godwitbank._internal.core.runs.forwarding import Forwarding
 from godwitbank._internal.core.runs.handover import Handover
+from godwitbank._internal.core.runs.jobs import Job
 from godwitbank._internal.core.runs.links import Link
+from godwitbank._internal.core.runs.remote_callers import RemoteCallers
 from godwitbank._internal.core.runs.routes import RouteTable
-from godwitbank._internal.core.runs.work import Job
 from godwitbank._internal.models.jobs import JobEnd, JobResult
-from godwitbank._internal.models.run_messages import (
-    Forward,
-    Join,
-    Withdraw,
-    Yielded,
-)
+from godwitbank._internal.models.run_messages import Forward, Join, Withdraw, Yielded
 
 
 class Intake:
-    """Decides what becomes of each job that a caller or another entry hands in."""
+    """Decides what happens to each job submitted by a caller or another entry."""
 
     def __init__(
         self,
@@ -47,30 +42,34 @@
         self._forwarding = forwarding
         self._pressure = pressure
         self._counts = counts
-        self._adoption = Adoption()
+        self._adoption = RemoteCallers()
         self._now = 0.0
-        self._out: Callable[[RunAction], None] = lambda action: None
+        self._emit: Callable[[RunAction], None] = lambda action: None
+
+    def begin_event(self, now: float, emit: Callable[[RunAction], None]) -> None:
+        """Prepare for one event.
 
-    def begin(self, now: float, out: Callable[[RunAction], None]) -> None:
-        """Prepare for one event."""
+        :param now: time of the event, in seconds.
+        :param emit: receives the actions to carry out.
+        """
         self._now = now
-        self._out = out
-        self._forwarding.begin(now, out)
+        self._emit = emit
+        self._forwarding.begin_event(now, emit)
 
     @property
     def busy(self) -> bool:
         """Whether a job is in flight here, or at another entry for this one."""
-        here = bool(self._dispatcher.jobs) or self._handover.busy
-        return here or self._forwarding.busy
+        busy_here = bool(self._dispatcher.jobs) or self._handover.busy
+        return busy_here or self._forwarding.busy
 
-    def has(self, job: str) -> bool:
-        """Tell whether a job is in flight here, or at another entry for this one."""
+    def has_job(self, job: str) -> bool:
+        """Return whether a job is in flight here, or at another entry for this one."""
         return job in self._dispatcher.jobs or self._forwarding.has(job)
 
     def submit(self, event: JobSubmitted, acquired: bool = False) -> None:
-        """Take a job, hand it on, or refuse it.
+        """Accept a job, forward it to another entry, or refuse it.
 
-        :param acquired: whether this entry may start it already.
+        :param acquired: whether this entry already has the right to start the job.
         """
         spec = event.spec
         queue = self._routes.get(spec.queue)
@@ -79,22 +78,25 @@
             return
         if self._join(event):
             return
-        adopted = self._adoption.is_adopted(event.caller)
-        if not adopted and self._forwarding.try_forward(event):
+        is_remote = self._adoption.is_remote(event.caller)
+        if not is_remote and self._forwarding.try_forward(event):
             return
-        if self._pressure.behind:
-            # Taken now it would be late, and make all others later, until the entry
-            # works for callers that have left.
+        if self._pressure.overloaded:
+            # The event loop is overloaded. Another job would be late and delay all
+            # others, until the entry serves only callers that have disconnected.
             self._refuse(event, "no_processor")
             return
-        job = Job(spec, queue, event.caller, self._now, event.patience)
+        job = Job(spec, queue, event.caller, self._now, event.timeout_seconds)
         if acquired:
             self._handover.start(job)
         else:
             self._handover.submit(job)
 
     def _join(self, event: JobSubmitted) -> bool:
-        """Let a caller whose first connection broke wait for what was taken then."""
+        """Attach a caller to its job if that is in flight already.
+
+        A caller whose connection broke submits its job again.
+        """
         name = event.spec.job
         if self._forwarding.join(event):
             return True
@@ -102,29 +104,29 @@
         if known is None:
             return False
         self._counts.add("jobs_joined")
-        self._out(Note("job_joined", name, {}))
+        self._emit(LogDecision("job_joined", name, {}))
         known.callers.append(event.caller)
-        known.deadline = max(known.deadline, self._now + event.patience)
+        known.deadline = max(known.deadline, self._now + event.timeout_seconds)
         return True
 
     def _find_known(self, name: str) -> Job | None:
         known = self._dispatcher.jobs.get(name)
         if known is not None and not known.ending:
             return known
-        return self._handover.find(name)
+        return self._handover.find_waiting(name)
 
     def _refuse(self, event: JobSubmitted, reason: str) -> None:
         self._counts.add("jobs_refused", reason)
         job = event.spec.job
         lag = round(self._pressure.lag, 3)
-        self._out(Note("job_refused", job, {"reason": reason, "lag": lag}))
-        result = JobResult(job, JobEnd.REFUSED, reason, False, COME_BACK)
-        self._out(Answer(event.caller, result))
-
-    def lose_caller(self, event: CallerGone) -> None:
-        """Give up what only a caller who is gone waits for."""
-        self._forwarding.lose_caller(event.caller)
-        self._handover.lose_caller(event.caller)
+        self._emit(LogDecision("job_refused", job, {"reason": reason, "lag": lag}))
+        result = JobResult(job, JobEnd.REFUSED, reason, False, RETRY_AFTER_SECONDS)
+        self._emit(AnswerCaller(event.caller, result))
+
+    def handle_caller_loss(self, event: CallerDisconnected) -> None:
+        """Give up the jobs for which only a disconnected caller waits."""
+        self._forwarding.handle_caller_loss(event.caller)
+        self._handover.handle_caller_loss(event.caller)
         for job in list(self._dispatcher.jobs.values()):
             if event.caller not in job.callers:
                 continue
@@ -133,18 +135,20 @@
                 self._dispatcher.give_up(job, "caller_gone")
 
     def cancel(self, event: JobCancelled) -> None:
-        """Give up a job at its caller's wish."""
+        """Give up a job that its caller cancelled."""
         self._forwarding.withdraw(event.job, "cancelled")
         job = self._dispatcher.jobs.get(event.job)
         if job is not None:
             self._dispatcher.give_up(job, "cancelled")
 
-    def hear_forward(self, link: Link, message: Forward) -> None:
-        """Take a job of another entry's caller."""
-        self.submit(self._adoption.adopt(link.stream, message), message.acquired)
+    def handle_forward(self, link: Link, message: Forward) -> None:
+        """Handle a job that another entry forwarded."""
+        self.submit(
+            self._adoption.accept_forward(link.stream, message), message.acquired
+        )
 
-    def hear_join(self, link: Link, message: Join) -> None:
-        """Let a caller of another entry wait for a job, if it is here."""
+    def handle_join(self, link: Link, message: Join) -> None:
+        """Attach a caller of another entry to a job, if the job is here."""
         name = message.job
         known = self._find_known(name)
         if known is not None:
@@ -154,24 +158,28 @@
             caller = self._adoption.add_caller(link.stream, name)
             self._forwarding.add_caller(name, caller)
         else:
-            self._handover.hear_join(link, name)
-
-    def hear_yielded(self, link: Link, message: Yielded) -> None:
-        """Go on with a job that another entry doesn't have, or no longer."""
-        self._handover.hear_yielded(link, message)
-        self._forwarding.hear_yielded(link.stream, message.job)
-
-    def hear_withdraw(self, link: Link, message: Withdraw) -> None:
-        """Give up a job that another entry's caller no longer waits for."""
-        for gone in self._adoption.withdraw(link.stream, message.job):
-            self.lose_caller(gone)
-
-    def drop_stream(self, stream: int) -> None:
-        """Note that a stream to another entry ended, in both roles."""
-        self._forwarding.lose_stream(stream)
-        for gone in self._adoption.drop_stream(stream):
-            self.lose_caller(gone)
-
-    def route(self, actions: Iterable[RunAction]) -> list[RunAction]:
-        """Turn answers to callers of other entries into messages."""
-        return self._adoption.route(actions)
+            self._handover.handle_join(link, name)
+
+    def handle_yielded(self, link: Link, message: Yielded) -> None:
+        """Proceed with a job that another entry doesn't have, or has given up."""
+        self._handover.handle_yielded(link, message)
+        self._forwarding.handle_yielded(link.stream, message.job)
+
+    def handle_withdraw(self, link: Link, message: Withdraw) -> None:
+        """Give up a job for which another entry's callers no longer wait."""
+        for caller_gone in self._adoption.withdraw(link.stream, message.job):
+            self.handle_caller_loss(caller_gone)
+
+    def handle_stream_loss(self, stream: int) -> None:
+        """Handle the loss of the stream to another entry.
+
+        This covers the jobs that were forwarded to the other entry and those that it
+        forwarded here.
+        """
+        self._forwarding.handle_stream_loss(stream)
+        for caller_gone in self._adoption.drop_stream(stream):
+            self.handle_caller_loss(caller_gone)
+
+    def route_answers(self, actions: Iterable[RunAction]) -> list[RunAction]:
+        """Replace answers to other entries' callers by messages to those entries."""
+        return self._adoption.route_answers(actions)
--- a/src/godwitbank/_internal/core/runs/adoption.py
+++ b/src/godwitbank/_internal/core/runs/remote_callers.py
@@ -1,7 +1,7 @@
-"""Jobs that an entry serves for callers of other entries.
+"""Callers of other entries whose jobs this entry serves.
 
-The rest of the core knows callers by number. Those of other entries have numbers below
-zero here; what is answered to them goes back on the stream that their job came by.
+The rest of the core knows callers by number. Callers of other entries have negative
+numbers here; answers to them are sent back on the stream on which their job arrived.
 """
 
 import itertools
@@ -10,8 +10,8 @@
 
 from godwitbank._internal.core.events import Send
 from godwitbank._internal.core.runs.events import (
-    Answer,
-    CallerGone,
+    AnswerCaller,
+    CallerDisconnected,
     JobSubmitted,
     RunAction,
 )
@@ -21,59 +21,59 @@
 
 
 class Origin(NamedTuple):
-    """The stream a job came by, and the job."""
+    """A job, and the stream on which another entry forwarded it."""
 
     stream: int
     job: str
 
 
-class Adoption:
-    """Callers of other entries, by the numbers they have here."""
+class RemoteCallers:
+    """Callers of other entries, by their numbers at this entry."""
 
     def __init__(self) -> None:
         self._origins: dict[int, Origin] = {}
         self._numbers = itertools.count(1)
 
-    def adopt(self, stream: int, message: Forward) -> JobSubmitted:
-        """Note a job's origin, and decode it."""
+    def accept_forward(self, stream: int, message: Forward) -> JobSubmitted:
+        """Decode a forwarded job, and register its caller."""
         caller = self.add_caller(stream, message.job)
         steps = tuple(_decode_step(fields) for fields in message.steps)
         spec = JobSpec(message.job, message.queue, message.payload, steps)
         return JobSubmitted(caller, spec, message.patience)
 
     def add_caller(self, stream: int, job: str) -> int:
-        """Give a number to a caller of another entry."""
+        """Register a caller of another entry, and return its number."""
         caller = -next(self._numbers)
         self._origins[caller] = Origin(stream, job)
         return caller
 
-    def is_adopted(self, caller: int) -> bool:
-        """Tell whether a caller came to another entry."""
+    def is_remote(self, caller: int) -> bool:
+        """Tell whether a caller is connected to another entry."""
         return caller in self._origins
 
-    def withdraw(self, stream: int, job: str) -> list[CallerGone]:
-        """List the callers of a job that another entry withdraws."""
+    def withdraw(self, stream: int, job: str) -> list[CallerDisconnected]:
+        """Remove the callers of a job that another entry withdraws."""
         origin = Origin(stream, job)
         gone = [caller for caller, each in self._origins.items() if each == origin]
         return self._forget(gone)
 
-    def drop_stream(self, stream: int) -> list[CallerGone]:
-        """List the callers that can't be answered any more."""
+    def drop_stream(self, stream: int) -> list[CallerDisconnected]:
+        """Remove the callers that a closed stream makes impossible to answer."""
         gone = [
             caller for caller, each in self._origins.items() if each.stream == stream
         ]
         return self._forget(gone)
 
-    def _forget(self, callers: list[int]) -> list[CallerGone]:
+    def _forget(self, callers: list[int]) -> list[CallerDisconnected]:
         for caller in callers:
             del self._origins[caller]
-        return [CallerGone(caller) for caller in callers]
+        return [CallerDisconnected(caller) for caller in callers]
 
-    def route(self, actions: Iterable[RunAction]) -> list[RunAction]:
-        """Turn answers to callers of other entries into messages."""
+    def route_answers(self, actions: Iterable[RunAction]) -> list[RunAction]:
+        """Replace answers to callers of other entries by messages to these entries."""
         routed: list[RunAction] = []
         for action in actions:
-            if not isinstance(action, Answer) or action.caller > 0:
+            if not isinstance(action, AnswerCaller) or action.caller > 0:
                 routed.append(action)
                 continue
             origin = self._origins.pop(action.caller, None)
--- a/src/godwitbank/_internal/core/runs/waiting.py
+++ b/src/godwitbank/_internal/core/runs/waiting.py
@@ -1,18 +1,19 @@
-"""Tasks that wait for a place, by the time they should start at the latest.
+"""Priority queue of the tasks that wait for an agent.
 
-Earliest first is the best order while all can be served in time. Under overload
-it is the worst: what is already late goes first, makes the next late, and in the
-end every job is late. So tasks whose time has passed wait behind all others.
+Tasks are ordered by rank, the latest time at which they should start. Earliest first is
+the best order while all tasks can be served in time. Under overload it is the worst:
+tasks that are already late go first and make the next ones late, until every job is
+late. Therefore tasks whose rank has passed are queued behind all others.
 """
 
 import heapq
 from typing import NamedTuple
 
-from godwitbank._internal.core.runs.work import Task, TaskState
+from godwitbank._internal.core.runs.jobs import Task, TaskState
 
 
-class Entry(NamedTuple):
-    """A task's place in the queue; the sequence keeps equal ranks in order."""
+class QueuedTask(NamedTuple):
+    """A task in the queue; the sequence number keeps tasks of equal rank in order."""
 
     rank: float
     sequence: int
@@ -20,12 +21,16 @@
 
 
 class WaitingTasks:
-    """Waiting tasks of one service."""
+    """The waiting tasks of one service.
+
+    :param late_last: whether late tasks are queued behind all others.
+    :ivar count: number of tasks that wait.
+    """
 
     def __init__(self, late_last: bool = True) -> None:
         self._late_last = late_last
-        self._timely: list[Entry] = []
-        self._late: list[Entry] = []
+        self._timely: list[QueuedTask] = []
+        self._late: list[QueuedTask] = []
         self._sequence = 0
         self.count = 0
 
@@ -37,37 +42,48 @@
 
     def _push(self, task: Task) -> None:
         self._sequence += 1
-        entry = Entry(task.job.rank, self._sequence, task)
-        heapq.heappush(self._timely, entry)
+        queued = QueuedTask(task.job.rank, self._sequence, task)
+        heapq.heappush(self._timely, queued)
+
+    def mark_removed(self) -> None:
+        """Decrement the count for a task that no longer waits.
 
-    def drop(self) -> None:
-        """Count out a task that no longer waits; its entry is skipped later."""
+        ``pop`` skips the task if it is still queued.
+        """
         self.count -= 1
 
-    def take(self, now: float) -> Task | None:
-        """Take the next task; if it finds no place it goes back by ``put_back``."""
+    def pop(self, now: float) -> Task | None:
+        """Remove and return the next task, or ``None`` if none waits.
+
+        A task that finds no agent must be returned by ``put_back``. One that is placed
+        must be counted out by ``mark_removed``.
+        """
         while self._timely:
-            entry = heapq.heappop(self._timely)
-            if entry.task.state is not TaskState.WAITING:
+            queued = heapq.heappop(self._timely)
+            if queued.task.state is not TaskState.WAITING:
                 continue
-            if entry.rank >= now or not self._late_last:
-                return entry.task
-            heapq.heappush(self._late, entry)
+            if queued.rank >= now or not self._late_last:
+                return queued.task
+            heapq.heappush(self._late, queued)
         while self._late:
-            entry = heapq.heappop(self._late)
-            if entry.task.state is TaskState.WAITING:
-                return entry.task
+            queued = heapq.heappop(self._late)
+            if queued.task.state is TaskState.WAITING:
+                return queued.task
         return None
 
     def put_back(self, tasks: list[Task]) -> None:
-        """Return tasks that found no place."""
+        """Queue tasks again that were popped but found no agent."""
         for task in tasks:
             self._push(task)
 
-    def measure_timely(self, horizons: tuple[float, ...], now: float) -> list[float]:
-        """Tell the core-seconds of work that must start within each horizon.
+    def measure_timely_work(
+        self, horizons: tuple[float, ...], now: float
+    ) -> list[float]:
+        """Return the core-seconds that must start within each horizon.
+
+        Late tasks are left out, because all others go before them.
 
-        Work that is late already is left out: it lets others pass.
+        :param horizons: seconds from now.
         """
         totals = [0.0] * len(horizons)
         for rank, _, task in self._timely:
@@ -75,5 +91,5 @@
                 continue
             for position, horizon in enumerate(horizons):
                 if rank - now <= horizon:
-                    totals[position] += task.work
+                    totals[position] += task.core_seconds
         return totals
--- a/src/godwitbank/_internal/operations/run_entry.py
+++ b/src/godwitbank/_internal/operations/run_entry.py
@@ -8,21 +8,21 @@
 from godwitbank._internal.core.counters import Counts
 from godwitbank._internal.core.events import CloseStream, Dial, Send, StopRequested
 from godwitbank._internal.core.identity import Identity, make_hello
-from godwitbank._internal.core.runs.admission import COME_BACK
-from godwitbank._internal.core.runs.deployment import USUAL, Deployment
+from godwitbank._internal.core.runs.admission import RETRY_AFTER_SECONDS
+from godwitbank._internal.core.runs.deployment import DEFAULT_DEPLOYMENT, Deployment
 from godwitbank._internal.core.runs.entry import RunEntryCore
 from godwitbank._internal.core.runs.events import (
     AddressesRead,
-    Answer,
-    CallerGone,
+    AnswerCaller,
+    CallerDisconnected,
     ConfigurationRead,
     EvacuationRead,
     JobCancelled,
     JobSubmitted,
-    Lagged,
-    Note,
-    Quiet,
+    LagMeasured,
+    LogDecision,
     RunAction,
+    ShutdownComplete,
 )
 from godwitbank._internal.models.jobs import (
     Configuration,
@@ -52,7 +52,7 @@
         rng: Random,
         log: DecisionLog,
         counts: Counts,
-        deployment: Deployment = USUAL,
+        deployment: Deployment = DEFAULT_DEPLOYMENT,
     ) -> None:
         self.core = RunEntryCore(
             identity, rng, read_boot_time(), counts, deployment=deployment
@@ -90,7 +90,7 @@
             self.exporter.record(f"job_{result.end}", read_boot_time() - began)
             return result
         except asyncio.CancelledError:
-            self._inbox.put(CallerGone(caller))
+            self._inbox.put(CallerDisconnected(caller))
             self.exporter.record("caller_gone", read_boot_time() - began)
             raise
         finally:
@@ -102,11 +102,13 @@
         lag = round(self.core.pressure.lag, 3)
         fields = {"reason": "no_processor", "lag": lag, "unread": True}
         self._log.write("job_refused", job, fields)
-        return JobResult(job, JobEnd.REFUSED, "no_processor", False, COME_BACK)
+        return JobResult(
+            job, JobEnd.REFUSED, "no_processor", False, RETRY_AFTER_SECONDS
+        )
 
     async def cancel(self, job: str) -> bool:
         """Cancel a job; returns whether it was in flight here."""
-        known = self.core.intake.has(job)
+        known = self.core.intake.has_job(job)
         self._inbox.put(JobCancelled(job))
         await self._inbox.flush()
         return known
@@ -129,7 +131,7 @@
 
     def _hear_lag(self, seconds: float) -> None:
         self.exporter.record("loop_lag", seconds)
-        self._inbox.put(Lagged(seconds))
+        self._inbox.put(LagMeasured(seconds))
 
     # Actions
 
@@ -138,21 +140,21 @@
         for action in actions:
             if isinstance(action, Send):
                 writes.setdefault(action.stream, []).append(action.message)
-            elif isinstance(action, Note):
+            elif isinstance(action, LogDecision):
                 self._log.write(action.event, action.request, action.fields)
-            elif isinstance(action, Answer):
+            elif isinstance(action, AnswerCaller):
                 self._answer(action)
             elif isinstance(action, CloseStream):
                 self.streams.write(action.stream, writes.pop(action.stream, []))
                 self.streams.close(action.stream, action.reason == "silence")
             elif isinstance(action, Dial):
                 self.streams.dial(action.address)
-            elif isinstance(action, Quiet):
+            elif isinstance(action, ShutdownComplete):
                 self._quiet.set()
         for stream, messages in writes.items():
             self.streams.write(stream, messages)
 
-    def _answer(self, action: Answer) -> None:
+    def _answer(self, action: AnswerCaller) -> None:
         future = self._callers.get(action.caller)
         if future is not None and not future.done():
             future.set_result(action.result)
--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -35,7 +35,7 @@
     Break(
         "restarted agent vouches for its predecessor",
         f"{CORE}/entry.py",
-        "            self._lose_outstanding(view, "
+        "            self._mark_outstanding_unknown(view, "
         + '"the agent was restarted")\n        self._send(',
         "            for sent in [*view.outstanding.values()]:\n"
         "                self.dispatcher._requeue(sent.task)\n        self._send(",
@@ -52,7 +52,7 @@
     Break(
         "repeated starts trusted",
         f"{CORE}/agent.py",
-        "if record is not None and record.state is not State.FENCED:",
+        "if record is not None and record.state is not RecordState.FENCED:",
         "if False:",
         f"{FAILURES}/test_starts.py::test_repeated_bytes_start_nothing_twice",
     ),
@@ -96,7 +96,7 @@
     Break(
         "claims skipped",
         f"{CORE}/dispatch.py",
-        "        if table.idempotent:\n            service.queue.add(task)",
+        "        if class_table.idempotent:\n            service.queue.add(task)",
         "        if True:\n            service.queue.add(task)",
         f"{FAILURES}/test_requests.py::test_two_entries_at_once_run_it_once",
     ),
@@ -124,13 +124,13 @@
     Break(
         "agent exits with work running",
         f"{CORE}/agent.py",
-        "if not self._tenancy.stopping or self.running or self._drained:",
-        "if not self._tenancy.stopping or self._drained:",
+        "if not self._endpoint_lease.stopping or self.running or self._drained:",
+        "if not self._endpoint_lease.stopping or self._drained:",
         f"{FAILURES}/test_leaving.py::test_leaving_takes_nothing_new_and_cuts_nothing",
     ),
     Break(
         "lease never lapses",
-        f"{CORE}/tenancy.py",
+        f"{CORE}/endpoint_lease.py",
         "if self.service and self.is_lapsed(now):",
         "if False:",
         f"{FAILURES}/test_leaving.py::test_vanished_endpoint_lapses",
@@ -145,8 +145,8 @@
     Break(
         "lower revision accepted",
         f"{CORE}/catalog.py",
-        "held.revision >= revision",
-        "held.revision == revision",
+        "installed.revision >= revision",
+        "installed.revision == revision",
         "tests/core/test_exploration.py::TestExploration",
     ),
     Break(
@@ -166,30 +166,31 @@
     Break(
         "booting entry asks the table only",
         f"{CORE}/entry.py",
-        "        self._informed = True\n"
-        "        self._install(document.service, document.revision, document.text)",
+        "        self._has_contact = True\n"
+        "        self._install_document("
+        "document.service, document.revision, document.text)",
         "        pass",
         f"{FAILURES}/test_configuration.py::test_boot_in_an_outage_learns_from_others",
     ),
     Break(
         "nobody is ejected",
         f"{CORE}/ejection.py",
-        "    if rate >= MIN_RATE and rate > PEER_FACTOR * peer_rate:",
+        "    if rate >= MIN_FAILURE_RATE and rate > PEER_RATE_FACTOR * peer_rate:",
         "    if False:",
         f"{FAILURES}/test_endpoints.py::test_endpoint_that_fails_everything_is_ejected",
     ),
     Break(
         "endpoints judged without their peers",
         f"{CORE}/ejection.py",
-        "rate > PEER_FACTOR * peer_rate",
+        "rate > PEER_RATE_FACTOR * peer_rate",
         "rate > 0",
         f"{FAILURES}/test_endpoints.py::test_task_that_fails_everywhere_ejects_nobody",
     ),
     Break(
         "unanswered orders give up their room",
         f"{LEASED}/runner.py",
-        "        held.state = RunState.DOUBTFUL\n",
-        "        held.state = RunState.DOUBTFUL\n"
+        "        held.state = RunState.UNCONFIRMED\n",
+        "        held.state = RunState.UNCONFIRMED\n"
         "        self._settle(held, RunEnd.NOT_STARTED)\n        return\n",
         f"{RUNS}/test_failures.py::test_room_of_an_unanswered_order_stays_taken",
     ),
@@ -203,15 +204,15 @@
     Break(
         "restarted agent serves at once",
         f"{LEASED}/endpoint.py",
-        "        ready = self.settled and self.reporting",
-        "        ready = self.reporting",
+        "            self.reconciled\n            and self.reporting\n",
+        "            self.reporting\n",
         f"{RUNS}/test_failures.py::"
         "test_a_restarted_agent_stops_what_its_predecessor_started",
     ),
     Break(
         "runs of a lost entry go on",
         f"{LEASED}/agent.py",
-        "            self.runner.stop_owned(link.hello.incarnation)",
+        "            self.runner.stop_runs_of(link.hello.incarnation)",
         "            pass",
         f"{RUNS}/test_failures.py::"
         "test_runs_of_a_dead_entry_are_stopped_before_the_caller_comes_again",
@@ -233,15 +234,15 @@
     Break(
         "orders of any age are carried out",
         f"{LEASED}/runner.py",
-        "if self._now - order.sent_at > ORDER_SECONDS:",
+        "if self._now - order.sent_at > MAX_ORDER_AGE_SECONDS:",
         "if False:",
-        f"{RUNS}/test_meeting.py::"
+        f"{RUNS}/test_partial_mesh.py::"
         "test_an_order_older_than_its_entrys_patience_starts_nothing",
     ),
     Break(
         "leases are granted however long ago entries lived",
-        f"{LEASED}/lives.py",
-        "        return min(proofs, default=math.inf) + LIFE_SECONDS",
+        f"{LEASED}/liveness.py",
+        "        return min(last_alive, default=math.inf) + OWNER_LIVENESS_SECONDS",
         "        return math.inf",
         f"{RUNS}/test_takeovers.py::"
         "test_runs_end_with_their_entry_though_their_agent_dies_before_it_stops_them",
@@ -252,15 +253,15 @@
         "            self._wake()",
         "            pass",
         f"{RUNS}/test_takeovers.py::"
-        "test_an_entry_that_wakes_up_starts_nothing_before_it_has_heard_others",
+        "test_a_resumed_entry_starts_nothing_before_others_announced_their_jobs",
     ),
     Break(
         "agents without an answer run nothing",
         f"{LEASED}/ownership.py",
-        "        return self.lived_at + LAPSE_SECONDS",
-        "        return self.lived_at",
+        "        return self.last_alive_at + LAPSE_SECONDS",
+        "        return self.last_alive_at",
         f"{RUNS}/test_takeovers.py::"
-        "test_a_job_of_a_lost_entry_waits_though_nobody_can_tell_of_it",
+        "test_a_job_of_a_lost_entry_waits_though_no_process_left_knows_it",
     ),
     Break(
         "no home is asked",
@@ -273,32 +274,31 @@
     Break(
         "claims of one moment have no order",
         f"{LEASED}/claims.py",
-        "        if claimant is None or now - claimant.at > SAME_MOMENT:",
+        "        if claimant is None or now - claimant.at > SIMULTANEOUS_SECONDS:",
         "        if True:",
         f"{RUNS}/test_two_entries.py::"
-        "test_agents_that_hear_claims_in_another_order_let_one_entry_start_the_job",
+        "test_agents_that_get_claims_in_another_order_let_one_entry_start_the_job",
     ),
     Break(
         "a home that has just joined decides at once",
         f"{LEASED}/homes.py",
-        "        if route != HERE or self._is_informed():",
+        "        if route != LOCAL_ROUTE or self._is_synced():",
         "        if True:",
         f"{RUNS}/test_two_entries.py::"
-        "test_a_home_that_has_just_joined_asks_the_one_before_it",
+        "test_a_home_that_has_just_joined_asks_the_previous_home",
     ),
     Break(
         "a home that ends tells nobody what it decided",
         f"{LEASED}/entry.py",
         "            self.handover.leave()\n",
         "",
-        f"{RUNS}/test_two_entries.py::"
-        "test_a_home_that_ends_tells_others_what_it_let_start",
+        f"{RUNS}/test_two_entries.py::test_a_home_that_stops_announces_its_grants",
     ),
     Break(
         "jobs that wait count as taken",
         f"{LEASED}/handover.py",
-        " if each.claiming]\n",
-        "]\n        taken += self._unsorted.values()\n",
+        " if each.claim_sent]\n",
+        "]\n        owned += self._undecided.values()\n",
         f"{RUNS}/test_two_entries_exploration.py",
     ),
     Break(
@@ -311,46 +311,47 @@
     Break(
         "nobody is asked for a lost entry",
         f"{LEASED}/handover.py",
-        "            self.whereabouts.ask(link.hello.address, owner)",
+        "            self.reachability.probe(link.hello.address, owner)",
         "            pass",
-        f"{RUNS}/test_meeting.py::test_a_job_moves_past_a_cut_between_two_entries",
+        f"{RUNS}/test_partial_mesh.py::test_a_job_moves_past_a_cut_between_two_entries",
     ),
     Break(
         "what a cut-off entry takes isn't passed on",
-        f"{LEASED}/whereabouts.py",
+        f"{LEASED}/reachability.py",
         "            self._send(stream, Took(message.jobs, message.ages, owner))",
         "            pass",
-        f"{RUNS}/test_meeting.py::test_a_job_moves_past_a_cut_between_two_entries",
+        f"{RUNS}/test_partial_mesh.py::test_a_job_moves_past_a_cut_between_two_entries",
     ),
     Break(
         "streams move with runs on them",
         f"{LEASED}/moves.py",
         "            idle = link.hello.incarnation not in owners",
         "            idle = True",
-        f"{RUNS}/test_meeting.py::test_a_stream_that_moves_cuts_no_run",
+        f"{RUNS}/test_partial_mesh.py::test_a_stream_that_moves_cuts_no_run",
     ),
     Break(
         "runs out of reach are started elsewhere at once",
         f"{LEASED}/dispatcher.py",
-        "            task.free_at = self._now + LAPSE_SECONDS",
-        "            task.free_at = self._now",
+        "            task.lapses_at = self._now + LAPSE_SECONDS",
+        "            task.lapses_at = self._now",
         f"{RUNS}/test_failures.py::"
         "test_an_agent_cut_off_alone_loses_its_runs_and_they_go_elsewhere",
     ),
     Break(
         "nobody is told what was taken",
-        f"{LEASED}/tellings.py",
-        '            self._out(Send(link.stream, Took([name], [0.0], "")))',
+        f"{LEASED}/ownership_announcements.py",
+        '            self._emit(Send(link.stream, Took([name], [0.0], "")))',
         "            pass",
-        f"{RUNS}/test_meeting.py::"
+        f"{RUNS}/test_partial_mesh.py::"
         "test_a_job_whose_home_is_lost_is_known_by_what_its_entry_has_told",
     ),
     Break(
         "late peers are not told what was taken",
         f"{LEASED}/handover.py",
-        "        self._tellings.tell_all(link.stream, self._list_taken(), self._now)",
+        "        self._announcements.announce_all"
+        "(link.stream, self._list_owned(), self._now)",
         "        pass",
-        f"{RUNS}/test_meeting.py::"
+        f"{RUNS}/test_partial_mesh.py::"
         "test_a_job_whose_home_is_lost_is_known_by_what_its_entry_has_told",
     ),
     Break(
@@ -364,7 +365,8 @@
     Break(
         "an endpoint without an answer keeps its lease",
         f"{LEASED}/endpoint.py",
-        "        grants = not self._inherits and self._unanswered < DEAF_RENEWALS",
+        "        grants = not self._inherits"
+        " and self._unanswered < MAX_UNANSWERED_RENEWALS",
         "        grants = not self._inherits",
         f"{RUNS}/test_failures.py::"
         "test_runs_of_a_silent_endpoint_go_elsewhere_after_its_lease",
@@ -387,7 +389,7 @@
     Break(
         "a stopping entry takes all that comes",
         f"{LEASED}/dispatcher.py",
-        "if self._now + job.objective > self.ends_at:",
+        "if self._now + job.objective > self.shutdown_at:",
         "if False:",
         f"{RUNS}/test_entry.py::"
         "test_a_stopping_entry_takes_nothing_that_would_outlive_it",
@@ -403,15 +405,16 @@
     Break(
         "one hopeless job ejects endpoints",
         f"{LEASED}/health.py",
-        "EJECT_SHARE = 0.6",
-        "EJECT_SHARE = 0.2",
+        "EJECTION_FAILURE_SHARE = 0.6",
+        "EJECTION_FAILURE_SHARE = 0.2",
         f"{RUNS}/test_failures.py::"
         "test_a_job_that_can_never_be_done_fails_and_ejects_nobody",
     ),
     Break(
         "takings of lost entries are not passed on",
         f"{LEASED}/handover.py",
-        "        self._tellings.pass_on(link.stream, self._takings, self._now)\n",
+        "        self._announcements.announce_unreachable_owners(\n"
+        "            link.stream, self._ownership, self._now\n        )\n",
         "",
         f"{RUNS}/test_failures.py::"
         "test_an_entry_killed_and_back_at_once_knows_what_it_had_taken",
@@ -435,45 +438,46 @@
     Break(
         "late work keeps its place",
         f"{LEASED}/waiting.py",
-        "            if entry.rank >= now or not self._late_last:",
+        "            if queued.rank >= now or not self._late_last:",
         "            if True:",
-        f"{RUNS}/test_waiting.py::test_late_work_lets_timely_work_pass",
+        f"{RUNS}/test_waiting.py::test_late_tasks_are_queued_behind_timely_ones",
     ),
     Break(
         "no process is ever behind",
         f"{CORE}/pressure.py",
-        "self.behind = self._measure_standing() >= limit",
-        "self.behind = False",
+        "self.overloaded = self._measure_sustained_lag() >= limit",
+        "self.overloaded = False",
         f"{RUNS}/test_behind.py::"
         "test_callers_are_refused_at_once_while_no_entry_has_processor_time",
     ),
     Break(
         "late entries keep all jobs",
         f"{LEASED}/forwarding.py",
-        "if self._pressure.lag < FORWARD_LAG:",
+        "if self._pressure.lag < FORWARD_LAG_SECONDS:",
         "if True:",
         f"{RUNS}/test_behind.py::"
-        "test_jobs_reach_the_processor_time_that_neighbours_have",
+        "test_jobs_are_forwarded_to_entries_with_spare_processor_time",
     ),
     Break(
         "late agents get as much work",
         f"{LEASED}/placement.py",
-        "        factor += view.lag / max(task.expected, SHORT_TASK)\n",
+        "        factor += view.lag / max(task.expected, MIN_TASK_SECONDS)\n",
         "",
         f"{RUNS}/test_behind.py::test_agents_without_processor_time_get_less_work",
     ),
     Break(
         "full agents are looked at",
         f"{LEASED}/placement.py",
-        "        if not roomy:\n            return None\n",
-        "        if not roomy:\n            return self._choose_of_all(views, task)\n",
+        "        if not with_capacity:\n            return None\n",
+        "        if not with_capacity:\n"
+        "            return self._choose_by_speed(views, task)\n",
         f"{RUNS}/test_placement.py::test_a_job_costs_no_more_while_tasks_wait_for_room",
     ),
     Break(
         "jobs handed on outlive their stream",
         f"{LEASED}/intake.py",
-        "        for gone in self._adoption.drop_stream(stream):\n"
-        "            self.lose_caller(gone)\n",
+        "        for caller_gone in self._adoption.drop_stream(stream):\n"
+        "            self.handle_caller_loss(caller_gone)\n",
         "",
         f"{RUNS}/test_forwarding.py::"
         "test_runs_end_when_the_entry_that_the_caller_came_to_is_lost",
@@ -536,7 +540,7 @@
     ),
     Break(
         "looks at the store wait for as long as they may",
-        f"{LEASED}/looks.py",
+        f"{LEASED}/poll_limits.py",
         "            unseen * WAIT_SHARE,\n",
         "            20.0,\n",
         "tests/platform/test_watch.py",
@@ -551,16 +555,16 @@
     Break(
         "agents probe no stream when another falls silent",
         f"{LEASED}/agent.py",
-        "self.links.probe(self._now)",
+        "self.links.start_probes(self._now)",
         "()",
-        f"{RUNS}/test_silence.py",
+        f"{RUNS}/test_silent_streams.py",
     ),
     Break(
         "work is sent on streams in doubt",
         f"{LEASED}/links.py",
-        "return self.is_doubted or now",
-        "return now",
-        f"{RUNS}/test_silence.py",
+        "            self.is_probe_pending\n            or now",
+        "            now",
+        f"{RUNS}/test_silent_streams.py",
     ),
 )
 
--- a/tests/core/runs/test_failures.py
+++ b/tests/core/runs/test_failures.py
@@ -7,13 +7,13 @@
 import pytest
 from standins.leased_endpoint import Behaviour, FakeEndpoint
 
-from godwitbank._internal.core.runs.events import Reported, ReportRecalled
+from godwitbank._internal.core.runs.events import ReportReceived, StoredReportRead
 from godwitbank._internal.models.resources import Resources
-from tests.core.runs.test_path import make_world
+from tests.core.runs.test_happy_path import make_world
 from tests.lib.runs_world import QUEUE, RunsWorld, make_job
 
 
-def find_agents(world: RunsWorld, job: str) -> list[str]:
+def list_agents_running(world: RunsWorld, job: str) -> list[str]:
     """List the agents whose endpoints run something of a job."""
     return [
         name
@@ -87,7 +87,7 @@
     world.run(0.2)
     world.darken("entry-0")
     world.run(1.3)
-    assert not find_agents(world, "j1")
+    assert not list_agents_running(world, "j1")
     world.submit("entry-1", make_job("j1", width=4, seconds=3.0))
     world.run(8.0)
     assert world.get_ends("j1") == ["completed"]
@@ -157,7 +157,7 @@
     world.kill("agent-0")
     world.run(0.5)
     agent = world.add_agent("agent-0")
-    agent.give(ReportRecalled(world.kept["agent-0"]))
+    agent.give(StoredReportRead(world.kept["agent-0"]))
     world.run_until(lambda: agent.core.open)
     world.run(0.01)
     world.submit("entry-1", make_job("j2", width=8, seconds=2.0))
@@ -173,7 +173,7 @@
     world = make_world(agents=2)
     world.submit("entry-0", make_job("j1", width=12, seconds=1.0))
     world.run(0.2)
-    world.crash_endpoint(find_agents(world, "j1")[0])
+    world.crash_endpoint(list_agents_running(world, "j1")[0])
     world.run(5.0)
     assert world.get_ends("j1") == ["completed"]
 
@@ -208,7 +208,7 @@
 def _report(world: RunsWorld, name: str):
     endpoint = world.endpoints[name]
     assert endpoint is not None
-    return Reported(endpoint.report(world.now))
+    return ReportReceived(endpoint.report(world.now))
 
 
 def test_a_late_report_of_a_former_boot_changes_nothing() -> None:
@@ -234,7 +234,7 @@
     endpoint = world.endpoints["agent-0"]
     assert endpoint is not None
     foreign = endpoint.report(world.now)._replace(instance="i-foreign", service="zz")
-    world.processes["agent-0"].give(Reported(foreign))
+    world.processes["agent-0"].give(ReportReceived(foreign))
     world.run(2.0)
     agent = world.processes["agent-0"].core
     assert agent.endpoint.instance == endpoint.instance
@@ -251,7 +251,7 @@
     endpoint = world.endpoints["agent-0"]
     assert endpoint is not None
     foreign = endpoint.report(world.now)._replace(service="zz", sequence=10**6)
-    world.processes["agent-0"].give(Reported(foreign))
+    world.processes["agent-0"].give(ReportReceived(foreign))
     assert world.processes["agent-0"].core.endpoint.service == QUEUE.service
     world.run(2.0)
     # Nor may its sequence hide the endpoint's own later reports.
@@ -355,7 +355,7 @@
     world.run(0.2)
     world.hang_up("entry-0", caller)
     world.run(0.2)
-    assert not find_agents(world, "j1")
+    assert not list_agents_running(world, "j1")
 
 
 def test_a_job_refused_as_not_run_never_starts() -> None:
@@ -385,7 +385,7 @@
     world = make_world(agents=1)
     world.kill("agent-0")
     agent = world.add_agent("agent-0")
-    agent.give(ReportRecalled(world.kept["agent-0"]))
+    agent.give(StoredReportRead(world.kept["agent-0"]))
     world.run(0.1)
     assert agent.core.open
 
@@ -399,13 +399,13 @@
     smaller = Resources(8000, 65536, 0)
     world.endpoints["agent-0"] = FakeEndpoint("i-new", QUEUE.service, smaller)
     agent = world.add_agent("agent-0")
-    agent.give(ReportRecalled(world.kept["agent-0"]))
+    agent.give(StoredReportRead(world.kept["agent-0"]))
     world.run(0.1)
     assert not agent.core.open
     world.boot_endpoint("agent-0", smaller)
     world.run(0.5)
     assert agent.core.open
-    assert agent.core.shelf.capacity.cpu == 8000
+    assert agent.core.held_runs.capacity.cpu == 8000
 
 
 def test_a_job_waits_for_agents_that_are_just_back() -> None:
@@ -508,7 +508,7 @@
     job = make_job("j1", width=12, seconds=3.0)
     world.submit("entry-0", job)
     world.run(0.3)
-    assert find_agents(world, "j1") == ["agent-0", "agent-1"]
+    assert list_agents_running(world, "j1") == ["agent-0", "agent-1"]
     world.kill("agent-0")
     world.run(0.1)
     world.kill("entry-0")
--- a/tests/core/runs/test_forwarding.py
+++ b/tests/core/runs/test_forwarding.py
@@ -3,11 +3,11 @@
 from godwitbank._internal.core.runs.events import (
     ConfigurationRead,
     JobCancelled,
-    Lagged,
+    LagMeasured,
 )
 from godwitbank._internal.models.jobs import Configuration
 from godwitbank._internal.models.resources import Resources
-from tests.core.runs.test_path import make_world
+from tests.core.runs.test_happy_path import make_world
 from tests.lib.runs_world import QUEUE, RunsWorld, make_job
 
 ENTRIES = ("entry-0", "entry-1")
@@ -20,7 +20,7 @@
     """Make a deployment whose first entry is late."""
     world = make_world(entries=entries)
     for _ in range(8):
-        world.processes["entry-0"].give(Lagged(LATE))
+        world.processes["entry-0"].give(LagMeasured(LATE))
         world.run(0.025)
     return world
 
@@ -54,7 +54,7 @@
 def test_a_job_is_not_handed_on_twice() -> None:
     world = make_pressed_world()
     for _ in range(8):
-        world.processes["entry-1"].give(Lagged(LATE))
+        world.processes["entry-1"].give(LagMeasured(LATE))
         world.run(0.001)
     world.submit("entry-0", make_job("j1", seconds=0.2))
     world.run(0.5)
@@ -92,7 +92,7 @@
     world = make_pressed_world()
     world.submit("entry-0", make_job("j1", width=4, seconds=5.0))
     world.run(0.1)
-    assert world.processes["entry-0"].core.intake.has("j1")
+    assert world.processes["entry-0"].core.intake.has_job("j1")
     world.processes["entry-0"].give(JobCancelled("j1"))
     world.run(0.2)
     assert count_alive(world) == 0
