--- a/src/godwitbank/_internal/core/runs/agent.py
+++ b/src/godwitbank/_internal/core/runs/agent.py
@@ -1,6 +1,6 @@
-"""The agent's decisions about its entries and its endpoint, and what it tells.
+"""Core of an agent: its streams to entries, its endpoint, and status updates.
 
-The runs it holds are the concern of ``runner``.
+The runs that the agent holds are handled by ``runner``.
 """
 
 import math
@@ -66,17 +66,21 @@
 )
 
 SLOWNESS_UPDATE_STEP = 0.3
-"""Change of an endpoint's slowness that entries are told before the next proof of life.
-Endpoints count as slow from 2.0, and sound ones differ by less than this."""
+"""Change of an endpoint's slowness that is sent to entries before the next periodic
+heartbeat. Endpoints count as slow from 2.0; healthy ones differ by less than this."""
 
 
 LAG_UPDATE_STEP_SECONDS = 0.03
-"""Change in seconds of this process's lateness that entries are told before the next
-proof of life: from there on another agent with room serves a short task sooner."""
+"""Change in seconds of this process's event loop lag that is sent to entries before the
+next periodic heartbeat. With that much more lag here, another agent with free capacity
+serves a short task sooner."""
 
 
 class AnnouncedState(NamedTuple):
-    """What all entries are told from: while it is the same they need no look."""
+    """State from which status updates are made.
+
+    While it is unchanged, entries need not be checked for updates.
+    """
 
     news: EndpointNews
     free: Resources
@@ -84,7 +88,11 @@
 
 
 class RunAgentCore:
-    """Decides for one agent; driven by events, answers with actions."""
+    """Makes all decisions of one agent; turns events into actions.
+
+    :param now: current time in seconds.
+    :param entries: number of entries the agent connects to.
+    """
 
     def __init__(
         self,
@@ -100,61 +108,64 @@
         self.endpoint = Endpoint(now, deployment)
         self.evacuations = Evacuations()
         self.runner = Runner(
-            self.endpoint, self.links, self.counts, now, self._lose_endpoint
+            self.endpoint, self.links, self.counts, now, self._handle_endpoint_loss
         )
         self.held_runs = self.runner.held_runs
         self.pressure = Pressure()
-        self._bulletins = StatusUpdates()
-        self._told: AnnouncedState | None = None
+        self._status_updates = StatusUpdates()
+        self._announced: AnnouncedState | None = None
         self._owners: set[str] = set()
-        self._linked_anew = True
-        self._quiet = False
+        self._links_changed = True
+        self._shutdown_reported = False
         self._moves = StreamMoves(self.links, now)
-        self._out: list[RunAction] = []
+        self._actions: list[RunAction] = []
         self._now = now
         self._handlers: dict[type, Callable] = {
-            AddressesRead: self._learn,
-            StreamOpened: self._open,
-            StreamClosed: self._close,
-            Received: self._receive,
-            Reported: self._report,
-            ReportRecalled: self._recall,
-            Departed: self._depart,
+            AddressesRead: self._handle_addresses,
+            StreamOpened: self._handle_stream_opened,
+            StreamClosed: self._handle_stream_closed,
+            Received: self._handle_message,
+            Reported: self._handle_report,
+            ReportRecalled: self._handle_stored_report,
+            Departed: self._handle_exit,
             StartAnswered: self.runner.handle_start_answer,
             Held: self.runner.handle_renewal_answer,
             HoldFailed: self.runner.handle_renewal_failure,
-            StopRequested: self._stop,
-            Lagged: self._note_lag,
-            Tick: self._tick,
+            StopRequested: self._handle_stop_request,
+            Lagged: self._handle_lag,
+            Tick: self._handle_tick,
         }
-        self._receivers: dict[type, Callable] = {
+        self._message_handlers: dict[type, Callable] = {
             StartRun: self.runner.handle_start_order,
             StopRun: self.runner.handle_stop_order,
             Claim: self.runner.handle_claim,
-            Peers: self._hear_peers,
-            Alive: self._hear_alive,
-            Evacuated: self._hear_evacuated,
-            Probe: self._hear_probe,
+            Peers: self._handle_peers,
+            Alive: self._handle_alive,
+            Evacuated: self._handle_evacuated,
+            Probe: self._handle_probe,
         }
 
     def handle(self, event: object, now: float) -> list[RunAction]:
-        """Take one event and return what has to be done."""
+        """Handle one event and return the actions to carry out.
+
+        :param now: current time in seconds.
+        """
         self._now = now
-        self._out = []
-        self.runner.begin_event(now, self._out)
+        self._actions = []
+        self.runner.begin_event(now, self._actions)
         if self.links.begin(now):
             for link in self.links:
                 self._drop_link(link.stream, "stood_still")
         self._handlers[type(event)](event)
         self.runner.start_parked()
-        self._out += self.endpoint.list_renewals(
+        self._actions += self.endpoint.list_renewals(
             now, bool(self.held_runs.placed_owners), self.runner.find_lease_end()
         )
-        self._tell_all()
+        self._send_status_updates()
         self.runner.answer_claims()
-        self._check_quiet()
-        self.links.note_sent(self._out, now)
-        return self._out
+        self._check_shutdown()
+        self.links.note_sent(self._actions, now)
+        return self._actions
 
     @property
     def next_wakeup(self) -> float:
@@ -162,22 +173,22 @@
         return min(
             self.links.next_wakeup(),
             self.endpoint.next_wakeup(),
-            self._bulletins.next_wakeup(),
+            self._status_updates.next_wakeup(),
         )
 
     @property
     def open(self) -> bool:
-        """Whether new runs are taken."""
+        """Whether new runs are accepted."""
         return self.runner.open
 
     @property
     def evacuated(self) -> bool:
-        """Whether the endpoint's zone is to get no new runs."""
+        """Whether the endpoint's availability zone is evacuated: no new runs."""
         return self.runner.evacuated
 
     @property
     def stopping(self) -> bool:
-        """Whether this process was asked to end."""
+        """Whether this process was asked to stop."""
         return self.runner.stopping
 
     def describe(self) -> dict[str, object]:
@@ -195,95 +206,98 @@
             "entries": [link.hello.process for link in self.links],
         }
 
-    def _note(self, event: str, request: str = "", **fields: object) -> None:
-        self._out.append(Note(event, request, fields))
+    def _log_decision(self, event: str, request: str = "", **fields: object) -> None:
+        self._actions.append(Note(event, request, fields))
 
     def _send(self, stream: int, message: Message) -> None:
-        self._out.append(Send(stream, message))
+        self._actions.append(Send(stream, message))
 
     # Streams
 
-    def _learn(self, event: AddressesRead) -> None:
+    def _handle_addresses(self, event: AddressesRead) -> None:
         self.links.addresses.learn(event.addresses, self._now)
         self._dial()
 
-    def _hear_peers(self, link: Link, peers: Peers) -> None:
+    def _handle_peers(self, link: Link, peers: Peers) -> None:
         del link
         self.links.addresses.learn(peers.entries, self._now)
         self._dial()
 
     def _dial(self) -> None:
-        self._out += [
+        self._actions += [
             Dial(address) for address in self.links.addresses.list_due(self._now)
         ]
 
-    def _open(self, event: StreamOpened) -> None:
+    def _handle_stream_opened(self, event: StreamOpened) -> None:
         hello = event.greeting
         entry = isinstance(hello, Hello) and hello.role == Role.ENTRY
         if not entry or hello.version != PROTOCOL_VERSION:
             self.counts.add("streams_refused", "greeting")
-            self._out.append(CloseStream(event.stream, "not an entry's greeting"))
+            self._actions.append(CloseStream(event.stream, "not an entry's greeting"))
             return
         assert isinstance(hello, Hello)
         link = self.links.open(event.stream, hello, event.address, self._now)
         if link is None:
-            self._out.append(CloseStream(event.stream, "self"))
+            self._actions.append(CloseStream(event.stream, "self"))
             return
         if not event.address:
             self._send(event.stream, make_hello(self.identity, Role.AGENT))
-        self._linked_anew = True
-        self._note("entry_connected", entry=hello.process)
+        self._links_changed = True
+        self._log_decision("entry_connected", entry=hello.process)
         for outcome in self.runner.outbox.take(hello.incarnation, self._now):
             self._send(event.stream, outcome)
-        owned = self.runner.list_tasks_of(hello.incarnation)
-        self._send(event.stream, Holding(owned, self._now))
+        tasks = self.runner.list_tasks_of(hello.incarnation)
+        self._send(event.stream, Holding(tasks, self._now))
 
-    def _close(self, event: StreamClosed) -> None:
+    def _handle_stream_closed(self, event: StreamClosed) -> None:
         link = self.links.close(event.stream, event.address, self._now)
-        self._bulletins.remove_stream(event.stream)
+        self._status_updates.remove_stream(event.stream)
         if link is None:
             return
         self.counts.add("streams_lost", Role.ENTRY)
-        self._note("entry_lost", entry=link.hello.process)
+        self._log_decision("entry_lost", entry=link.hello.process)
         if self.links.find(link.hello.incarnation) is None:
             self.runner.stop_runs_of(link.hello.incarnation)
             self.runner.prune_liveness()
 
-    def _receive(self, event: Received) -> None:
+    def _handle_message(self, event: Received) -> None:
         link = self.links.hear(event.stream, self._now)
         if link is None:
             self._drop_link(event.stream, "silence")
             return
-        receiver = self._receivers.get(type(event.message))
-        if receiver is None:
+        handler = self._message_handlers.get(type(event.message))
+        if handler is None:
             self._drop_link(event.stream, "unexpected message")
             return
-        receiver(link, event.message)
+        handler(link, event.message)
 
     def _drop_link(self, stream: int, reason: str) -> None:
         self.counts.add("streams_closed", reason)
-        self._out.append(CloseStream(stream, reason))
-        self._close(StreamClosed(stream))
+        self._actions.append(CloseStream(stream, reason))
+        self._handle_stream_closed(StreamClosed(stream))
 
-    def _hear_alive(self, link: Link, message: Alive) -> None:
+    def _handle_alive(self, link: Link, message: Alive) -> None:
         self.runner.record_liveness(link, message.clock)
 
-    def _hear_evacuated(self, link: Link, message: Evacuated) -> None:
-        told = decode_evacuation(message)
-        if self.evacuations.install(told) is None:
+    def _handle_evacuated(self, link: Link, message: Evacuated) -> None:
+        evacuation = decode_evacuation(message)
+        if self.evacuations.install(evacuation) is None:
             return
         evacuated = self.evacuations.covers(self.identity.zone)
         if evacuated == self.evacuated:
             return
         source = link.hello.process
-        self._note(
-            "evacuation", evacuated=evacuated, revision=told.revision, source=source
+        self._log_decision(
+            "evacuation",
+            evacuated=evacuated,
+            revision=evacuation.revision,
+            source=source,
         )
         self.runner.set_evacuated(evacuated)
 
-    # The endpoint itself
+    # Reports about the endpoint
 
-    def _report(self, event: Reported) -> None:
+    def _handle_report(self, event: Reported) -> None:
         report = event.report
         if self.endpoint.needs_verification(report):
             return
@@ -291,132 +305,136 @@
         if change.replaced:
             self.runner.end_all(RunEnd.LOST)
         if change.changed:
-            self._note(
+            self._log_decision(
                 "endpoint_reported",
                 instance=report.instance,
                 open=self.endpoint.open,
                 draining=report.draining,
             )
-            self._out.append(KeepReport(report))
+            self._actions.append(KeepReport(report))
         self.held_runs.capacity = self.endpoint.capacity
         if not self.endpoint.open:
             self.runner.return_parked()
 
-    def _recall(self, event: ReportRecalled) -> None:
+    def _handle_stored_report(self, event: ReportRecalled) -> None:
         if self.endpoint.restore_report(event.report, self._now):
-            self._note("endpoint_recalled", instance=event.report.instance)
+            self._log_decision("endpoint_recalled", instance=event.report.instance)
             self.held_runs.capacity = self.endpoint.capacity
 
-    def _depart(self, event: Departed) -> None:
+    def _handle_exit(self, event: Departed) -> None:
         if event.instance == self.endpoint.instance:
-            self._lose_endpoint("left")
+            self._handle_endpoint_loss("left")
 
-    def _lose_endpoint(self, reason: str) -> None:
+    def _handle_endpoint_loss(self, reason: str) -> None:
         self.counts.add("endpoints_lost", reason)
-        self._note("endpoint_lost", instance=self.endpoint.instance, reason=reason)
-        successor = self.endpoint.take_unverified_report()
+        self._log_decision(
+            "endpoint_lost", instance=self.endpoint.instance, reason=reason
+        )
+        report = self.endpoint.take_unverified_report()
         self.endpoint.reset()
         self.runner.end_all(RunEnd.LOST)
-        if successor is not None:
-            self._report(Reported(successor))
+        if report is not None:
+            self._handle_report(Reported(report))
 
     # Time
 
-    def _note_lag(self, event: Lagged) -> None:
+    def _handle_lag(self, event: Lagged) -> None:
         change = self.pressure.observe(event.seconds, self._now)
         if change is not None:
             self.counts.add("pressure_changes", change.event)
-            self._note(change.event, lag=change.lag, s=change.seconds)
+            self._log_decision(change.event, lag=change.lag, s=change.seconds)
 
-    def _tick(self, event: Tick) -> None:
+    def _handle_tick(self, event: Tick) -> None:
         del event
-        self._end_silent()
+        self._close_silent_streams()
         self._dial()
-        self._prove_life()
-        self._move_streams()
+        self._send_heartbeats()
+        self._leave_surplus_entry()
         if self.endpoint.has_lapsed(self._now) and self.held_runs.list_placed():
-            # No renewal reached the endpoint within the longest lease: it has
-            # ended everything by itself, whether it lives or not.
-            self._note("lease_lapsed", instance=self.endpoint.instance)
+            # No renewal reached the endpoint before its last lease ended, so it has
+            # ended all runs by itself, even if it is still alive.
+            self._log_decision("lease_lapsed", instance=self.endpoint.instance)
             self.runner.end_all(RunEnd.LOST)
         if self.endpoint.expire(self._now):
-            self._note("endpoint_silent", instance=self.endpoint.instance)
+            self._log_decision("endpoint_silent", instance=self.endpoint.instance)
             self.runner.return_parked()
 
-    def _end_silent(self) -> None:
-        silent = self.links.list_silent(self._now)
-        for link in silent:
+    def _close_silent_streams(self) -> None:
+        silent_links = self.links.list_silent(self._now)
+        for link in silent_links:
             self._drop_link(link.stream, "silence")
-        if silent:
-            self._probe_idle()
+        if silent_links:
+            self._probe_idle_streams()
 
-    def _probe_idle(self) -> None:
+    def _probe_idle_streams(self) -> None:
         for link in self.links.probe(self._now):
             self.counts.add("streams_probed")
             self._send(link.stream, Probe(self._now))
 
-    def _prove_life(self) -> None:
+    def _send_heartbeats(self) -> None:
         if self._now < self.links.look_at:
             return
-        pulse = self._make_pulse()
-        unproved = self.links.list_unproved(self._now)
+        heartbeat = self._make_heartbeat()
+        due_links = self.links.list_unproved(self._now)
         for link in self.links:
-            changed = abs(pulse.slowness - link.told_slowness) >= SLOWNESS_UPDATE_STEP
             changed = (
-                changed or abs(pulse.lag - link.told_lag) >= LAG_UPDATE_STEP_SECONDS
+                abs(heartbeat.slowness - link.told_slowness) >= SLOWNESS_UPDATE_STEP
+            )
+            changed = (
+                changed or abs(heartbeat.lag - link.told_lag) >= LAG_UPDATE_STEP_SECONDS
             )
-            if changed or link in unproved:
-                self._send_pulse(link, pulse)
+            if changed or link in due_links:
+                self._send_heartbeat(link, heartbeat)
 
-    def _make_pulse(self) -> Pulse:
+    def _make_heartbeat(self) -> Pulse:
         slowness = round(self.runner.slowness.read(self._now), 1)
         return Pulse([], slowness, self._now, round(self.pressure.mean, 3))
 
-    def _send_pulse(self, link: Link, pulse: Pulse) -> None:
-        link.told_slowness = pulse.slowness
-        link.told_lag = pulse.lag
-        self._send(link.stream, pulse)
+    def _send_heartbeat(self, link: Link, heartbeat: Pulse) -> None:
+        link.told_slowness = heartbeat.slowness
+        link.told_lag = heartbeat.lag
+        self._send(link.stream, heartbeat)
 
-    def _hear_probe(self, link: Link, message: Probe) -> None:
+    def _handle_probe(self, link: Link, message: Probe) -> None:
         del message
-        self._send_pulse(link, self._make_pulse())
+        self._send_heartbeat(link, self._make_heartbeat())
 
-    def _move_streams(self) -> None:
-        left = self._moves.find_closable(self.held_runs.owners, self._now)
-        if left is not None:
-            self._drop_link(left.stream, "not_needed")
+    def _leave_surplus_entry(self) -> None:
+        closable = self._moves.find_closable(self.held_runs.owners, self._now)
+        if closable is not None:
+            self._drop_link(closable.stream, "not_needed")
         if self._moves.start_leaving(self._now):
-            self._linked_anew = True
+            self._links_changed = True
 
-    def _stop(self, event: StopRequested) -> None:
+    def _handle_stop_request(self, event: StopRequested) -> None:
         del event
         self.runner.stopping = True
-        self._note("stopping", running=len(self.held_runs.list_placed()))
+        self._log_decision("stopping", running=len(self.held_runs.list_placed()))
         self.runner.return_parked()
 
-    def _check_quiet(self) -> None:
-        if self.stopping and not self._quiet and not self.held_runs.runs:
-            self._quiet = True
-            self._out.append(Quiet())
+    def _check_shutdown(self) -> None:
+        if self.stopping and not self._shutdown_reported and not self.held_runs.runs:
+            self._shutdown_reported = True
+            self._actions.append(Quiet())
 
-    # What entries are told
+    # Status updates to entries
 
-    def _note_owners(self) -> None:
-        """Note which streams carry runs; their other ends must be heard often."""
+    def _update_busy_links(self) -> None:
+        """Update which streams carry runs; those entries must be heard from often."""
         owners = set(self.held_runs.owners)
-        if owners == self._owners and not self._linked_anew:
+        if owners == self._owners and not self._links_changed:
             return
         self._owners = owners
-        silent = False
+        any_silent = False
         for link in self.links:
             if link.hello.incarnation not in owners:
-                silent = link.rest(self._now) or silent
+                any_silent = link.rest(self._now) or any_silent
             elif link.busy_since == math.inf:
                 link.busy_since = self._now
-        if silent:
-            self._probe_idle()
+        if any_silent:
+            self._probe_idle_streams()
 
-    def _tell_all(self) -> None:
+    def _send_status_updates(self) -> None:
         news = EndpointNews(
             self.endpoint.instance,
             self.endpoint.service,
@@ -427,22 +445,29 @@
             self.endpoint.is_cold(self._now),
         )
         free = self.held_runs.free - self.held_runs.parked_needs
-        self._note_owners()
-        concerned = {
+        self._update_busy_links()
+        streams_with_outcomes = {
             action.stream
-            for action in self._out
+            for action in self._actions
             if isinstance(action, Send) and isinstance(action.message, RunOutcome)
         }
-        told = AnnouncedState(news, free, self.held_runs.parked)
-        waits = self._now < self._bulletins.next_wakeup()
-        if told == self._told and waits and not concerned and not self._linked_anew:
+        state = AnnouncedState(news, free, self.held_runs.parked)
+        is_throttled = self._now < self._status_updates.next_wakeup()
+        if (
+            state == self._announced
+            and is_throttled
+            and not streams_with_outcomes
+            and not self._links_changed
+        ):
             return
-        self._told = told
-        self._linked_anew = False
+        self._announced = state
+        self._links_changed = False
         typical_cpu = self.held_runs.typical_cpu
-        for link in self._bulletins.begin_round(self.links, typical_cpu, self._now):
+        for link in self._status_updates.begin_round(
+            self.links, typical_cpu, self._now
+        ):
             room = Room(*free, self.held_runs.parked, link.received)
-            own_news = news._replace(open=False) if link.leaving else news
-            at_once = link.stream in concerned
-            for due in self._bulletins.list_due(link, own_news, room, at_once):
+            link_news = news._replace(open=False) if link.leaving else news
+            immediate = link.stream in streams_with_outcomes
+            for due in self._status_updates.list_due(link, link_news, room, immediate):
                 self._send(link.stream, due)
--- a/src/godwitbank/_internal/core/runs/deployment.py
+++ b/src/godwitbank/_internal/core/runs/deployment.py
@@ -1,27 +1,31 @@
-"""What a deployment's settings tell of its endpoints, its store and its bounds."""
+"""Settings of a deployment: its endpoints, its store and the time limits to keep."""
 
 from typing import NamedTuple
 
 MAX_LEASE_SECONDS = 1.0
-"""Seconds of the longest lease that is granted, if endpoints allow as much: what a
-process that is gone had ordered must soon be over."""
+"""Seconds of the longest lease that is granted, if endpoints allow it. The runs of a
+process that has died must end soon."""
 
 MAX_MISSED_REPORTS = 3
-"""Reports that may be lost one after the other before an endpoint counts as gone."""
+"""Consecutive reports that may be lost before an endpoint counts as gone."""
 
 REPORT_SLACK_SECONDS = 0.5
-"""Seconds that a report may be late, or a process need to be reached by one."""
+"""Seconds by which a report may be late, or that a new process needs to get one."""
 
 
 class Deployment(NamedTuple):
-    """Figures that differ between deployments.
-
-    :param longest_lease: seconds of the longest lease that endpoints allow.
-    :param report_period: seconds between two reports of an endpoint.
-    :param away_factor: how many times as long a task takes away from its data.
-    :param contact: seconds without a fault after which a process is held to bounds.
-    :param change_bound: seconds in which a change of the operators must be in force.
-    :param store_reads: reads a second that the store allows to all processes.
+    """Values that differ between deployments.
+
+    :param max_lease_seconds: longest lease that endpoints allow.
+    :param report_interval_seconds: time between two reports of an endpoint.
+    :param off_rack_factor: factor by which a task takes longer if it runs outside the
+        rack that holds its data.
+    :param fault_free_seconds: time without a fault after which the time limits apply to
+        a process again.
+    :param change_bound_seconds: time within which a change made by operators must be in
+        force.
+    :param store_reads_per_second: reads that the store allows to all processes
+        together.
     """
 
     max_lease_seconds: float = MAX_LEASE_SECONDS
@@ -33,7 +37,7 @@
 
     @property
     def granted_lease_seconds(self) -> float:
-        """Seconds of the leases that are granted."""
+        """Length of the leases that are granted, in seconds."""
         return min(MAX_LEASE_SECONDS, self.max_lease_seconds)
 
     @property
@@ -43,12 +47,12 @@
 
     @property
     def change_timeout_seconds(self) -> float:
-        """Seconds after a fault for which a change may stay unseen."""
+        """Seconds after a fault within which a change must be noticed."""
         return max(self.fault_free_seconds, self.change_bound_seconds)
 
     @property
     def agent_startup_seconds(self) -> float:
-        """Seconds in which a new agent may still hear of its endpoint."""
+        """Seconds within which a new agent gets the first report of its endpoint."""
         return self.report_interval_seconds + REPORT_SLACK_SECONDS
 
 
--- a/src/godwitbank/_internal/core/runs/evacuations.py
+++ b/src/godwitbank/_internal/core/runs/evacuations.py
@@ -1,9 +1,9 @@
-"""Which availability zones are evacuated, as one process knows it.
+"""Tracks which availability zones are evacuated, as known to one process.
 
-Operators ask at the store that a zone's endpoints get nothing new. Entries read it
-there and tell each other and their agents. Whoever was told something older later
-must not go back to it: runs would start in a zone that is being emptied, or its room
-would stay unused after it was taken back.
+Operators record in the store that the endpoints of a zone get no new runs. Entries read
+this from the store and announce it to each other and to their agents. An outdated
+announcement that arrives late must not replace newer state: runs would start in a zone
+that is being evacuated, or the capacity of a zone that is back in use would stay idle.
 """
 
 from godwitbank._internal.models.jobs import Evacuation
@@ -13,49 +13,49 @@
 
 
 class Evacuations:
-    """The newest that is known, by the store's revision."""
+    """Keeps the evacuation with the highest store revision seen so far."""
 
     def __init__(self) -> None:
         self._newest = NO_EVACUATION_KNOWN
 
     @property
     def newest(self) -> Evacuation:
-        """What is in force here."""
+        """The evacuation in force in this process."""
         return self._newest
 
     @property
     def known(self) -> bool:
-        """Whether anything was read or told yet."""
+        """Whether an evacuation state was read or announced yet."""
         return self._newest is not NO_EVACUATION_KNOWN
 
     def covers(self, zone: str) -> bool:
-        """Tell whether a zone's endpoints are to get nothing new."""
+        """Return whether the endpoints of a zone get no new runs."""
         return zone in self._newest.zones
 
-    def install(self, told: Evacuation) -> frozenset[str] | None:
-        """Put what was read or told in force, unless it is older than what is.
+    def install(self, evacuation: Evacuation) -> frozenset[str] | None:
+        """Replace the evacuation in force, unless the given one is not newer.
 
-        :return: the zones that were evacuated or taken back by it; ``None`` if this
-            process held the same or newer knowledge.
+        :return: zones whose state changed, which may be empty the first time; ``None``
+            if nothing changed or the given evacuation was not newer.
         """
-        if told.revision <= self._newest.revision:
+        if evacuation.revision <= self._newest.revision:
             return None
         first = not self.known
-        changed = told.zones ^ self._newest.zones
-        self._newest = told
+        changed = evacuation.zones ^ self._newest.zones
+        self._newest = evacuation
         return changed if changed or first else None
 
-    def is_outdated(self, told: Evacuation) -> bool:
-        """Tell whether somebody else holds older knowledge that differs."""
-        older = told.revision < self._newest.revision
-        return older and told.zones != self._newest.zones
+    def is_outdated(self, evacuation: Evacuation) -> bool:
+        """Return whether an evacuation held by another process is older and differs."""
+        older = evacuation.revision < self._newest.revision
+        return older and evacuation.zones != self._newest.zones
 
 
-def encode_evacuation(known: Evacuation) -> Evacuated:
-    """Make what other processes are told."""
-    return Evacuated(sorted(known.zones), known.revision)
+def encode_evacuation(evacuation: Evacuation) -> Evacuated:
+    """Build the message that announces an evacuation to other processes."""
+    return Evacuated(sorted(evacuation.zones), evacuation.revision)
 
 
 def decode_evacuation(message: Evacuated) -> Evacuation:
-    """Read what another process told."""
+    """Read the evacuation announced by another process."""
     return Evacuation(frozenset(map(str, message.zones)), message.revision)
--- a/src/godwitbank/_internal/core/runs/moves.py
+++ b/src/godwitbank/_internal/core/runs/moves.py
@@ -1,19 +1,22 @@
-"""An agent that keeps more streams than it needs leaves one entry at a time."""
+"""Closes an agent's surplus streams, one entry at a time."""
 
 from collections.abc import Container
 
 from godwitbank._internal.core.runs.links import Link, Links
 
 LEAVE_DELAY_SECONDS = 0.5
-"""Seconds between telling an entry that it will be left and leaving it; what it has
-sent before it heard so has arrived by then."""
+"""Seconds between announcing to an entry that its stream will be closed and closing it.
+Orders sent before the entry received the announcement arrive within this time."""
 
 
 class StreamMoves:
-    """Which entry is being left.
+    """Tracks the entry whose stream the agent is about to close.
 
-    It is told first that nothing new is taken from it, and left once nothing of it is
-    here: an order on its way to a closed stream would be lost for seconds.
+    The entry is told first that it can place no new runs here. Its stream is closed
+    once no run of it is left here, because the loss of an order sent to a closed stream
+    would go unnoticed for seconds.
+
+    :param now: current time in seconds.
     """
 
     def __init__(self, links: Links, now: float) -> None:
@@ -21,9 +24,9 @@
         self._leaving_since = now
 
     def find_closable(self, owners: Container[str], now: float) -> Link | None:
-        """Find the stream that can be closed now.
+        """Return the stream that can be closed now, or ``None``.
 
-        :param owners: entries of which a run is here, by incarnation.
+        :param owners: incarnations of the entries that own a run here.
         """
         for link in self._links:
             if not link.leaving:
@@ -34,7 +37,10 @@
         return None
 
     def start_leaving(self, now: float) -> bool:
-        """Choose an entry to leave, unless one is being left; tells whether it did."""
+        """Choose a surplus entry to leave, unless one is being left already.
+
+        :return: whether an entry was chosen.
+        """
         if any(link.leaving for link in self._links):
             return False
         address = self._links.addresses.find_surplus()
--- a/src/godwitbank/_internal/core/runs/poll_limits.py
+++ b/src/godwitbank/_internal/core/runs/poll_limits.py
@@ -1,9 +1,9 @@
-"""How long an entry's looks for what the operators want may take.
+"""Time limits for an entry's polls of the store for changes made by operators.
 
-A look waits at the store until something changes. Its connection may die without a
-word, and then it waits in vain: an entry whose peers are deaf as well goes on by what
-the operators have replaced. So a look must end, and the next one be answered, before
-such an entry is held to a change.
+A poll is held at the store until something changes. If its connection fails silently,
+the poll never gets an answer, and an entry that is also without contact to its peers
+keeps using outdated settings. So a poll must time out, and the next one be answered,
+before such an entry is required to have noticed a change.
 """
 
 from typing import NamedTuple
@@ -11,29 +11,30 @@
 from godwitbank._internal.core.runs.deployment import Deployment
 
 WAIT_SHARE = 1 / 3
-"""Of the seconds in which a change must be noticed, those that a look waits for it."""
+"""Fraction of the time to notice a change for which a poll waits at the store."""
 
 ANSWER_SHARE = 1 / 4
-"""Of the same, those that the answer may take beyond: the store may be slow, and this
-process late. The rest is for the next call."""
+"""Fraction of the same time that the answer may take beyond the wait, because the store
+may be slow and the event loop of this process late. The rest is for the next call."""
 
 READ_SHARE = 1 / 2
-"""Of the same, those that a read of everything may take."""
+"""Fraction of the same time that a read of all rows may take."""
 
-MAX_READ = 1.5
-"""Seconds of the longest read of everything, however long a change may take."""
+MAX_READ_SECONDS = 1.5
+"""Upper limit in seconds for a read of all rows, even if changes may take longer."""
 
-STORE_SHARE = 0.2
-"""Of the reads that the store allows to all processes, those for entries' looks."""
+STORE_READS_SHARE = 0.2
+"""Fraction of the reads that the store allows to all processes that polls may use."""
 
 
 class PollLimits(NamedTuple):
-    """Seconds that the calls of one entry may take.
+    """Time limits for the calls of one entry to the store.
 
-    :param wait: longest wait at the store for a change, among few entries.
-    :param answer: longest wait for an answer that is due.
-    :param read: longest wait for everything to be read.
-    :param most_a_second: looks a second that all entries may make.
+    :param wait_seconds: time for which a poll waits at the store for a change, as long
+        as there are few entries.
+    :param answer_seconds: timeout for the answer to a poll after that wait.
+    :param read_seconds: timeout for a read of all rows.
+    :param max_polls_per_second: polls that all entries together may send.
     """
 
     wait_seconds: float
@@ -43,18 +44,18 @@
 
     @classmethod
     def from_deployment(cls, deployment: Deployment) -> "PollLimits":
-        """Derive them from what a deployment allows."""
-        unseen = deployment.change_timeout_seconds
+        """Derive the limits from the settings of a deployment."""
+        change_timeout = deployment.change_timeout_seconds
         return cls(
-            unseen * WAIT_SHARE,
-            unseen * ANSWER_SHARE,
-            min(MAX_READ, unseen * READ_SHARE),
-            deployment.store_reads_per_second * STORE_SHARE,
+            change_timeout * WAIT_SHARE,
+            change_timeout * ANSWER_SHARE,
+            min(MAX_READ_SECONDS, change_timeout * READ_SHARE),
+            deployment.store_reads_per_second * STORE_READS_SHARE,
         )
 
     def choose_wait(self, entries: int) -> float:
-        """Choose how long a look waits, so that all entries stay below their share.
+        """Return the seconds to wait in a poll that keep all entries below their limit.
 
-        :param entries: how many there are, this one too.
+        :param entries: number of entries, including this one.
         """
         return max(self.wait_seconds, entries / self.max_polls_per_second)
--- a/src/godwitbank/_internal/core/runs/status_updates.py
+++ b/src/godwitbank/_internal/core/runs/status_updates.py
@@ -1,12 +1,14 @@
-"""What an agent tells entries of its endpoint, and how often.
-
-Every start and every end changes the room. Told to each of ten entries at once it was
-most of what agents and entries did: with 61 agents, 65 of 88 messages an entry took
-for a job. An entry is told with the end of each of its runs, as it may have work
-waiting for just that room; what it sends itself it counts in. Others are told later,
-but for what changes what they do: that there is room for a run of the usual size, or
-none any more. Told late of that, entries order into room that is taken, and let runs
-wait while there is some.
+"""Decides when an agent sends status updates about its endpoint to entries.
+
+Every start and every end of a run changes the free capacity. Sending each change to
+each of ten entries immediately took up most of the time of agents and entries: with 61
+agents, 65 of the 88 messages that an entry received per job were such updates.
+
+An entry is updated together with the end of each of its own runs, because it may have
+work waiting for that capacity; the runs that it orders itself it subtracts by itself.
+Other entries are updated at intervals, except for changes that affect their decisions:
+a run of typical size fits again, or no longer fits. If these came late, entries would
+order runs into capacity that is in use, and let runs wait while capacity is free.
 """
 
 import math
@@ -17,20 +19,21 @@
 from godwitbank._internal.models.run_messages import EndpointNews, Room
 
 UPDATE_INTERVAL_SECONDS = 0.03
-"""Seconds between two messages about room that no entry waits for, so that an agent
-sends 33 a second at the most, however many entries there are."""
+"""Seconds per entry between two rounds of updates that are not urgent, so that an agent
+sends at most 33 of them per second, whatever the number of entries."""
 
 MAX_UNTHROTTLED_ENTRIES = 4
-"""Entries that are told at once: so few messages cost no more than the wake-up that
-would send them later."""
+"""Number of entries up to which all updates are sent immediately. So few messages cost
+no more than the timer wake-up that would send them later."""
 
 MAX_IMMEDIATE_UPDATES = 2
-"""Entries that are told at once of room where there was none. More would all order into
-it; the next are told with the next change, whoever was told longest ago first."""
+"""Number of entries that are told immediately when a full endpoint has free capacity
+again. If more were told, all of them would order runs into the same capacity. The next
+entries are told with the next change, the least recently updated first."""
 
 
 class LastUpdate:
-    """What one entry was told last."""
+    """The last status update sent to one entry."""
 
     __slots__ = ("news", "room", "at")
 
@@ -41,91 +44,92 @@
 
 
 class StatusUpdates:
-    """What each entry was told last, by stream."""
+    """Tracks the last update sent on each stream and lists the updates that are due."""
 
     def __init__(self) -> None:
-        self._told: dict[int, LastUpdate] = {}
-        self._all_told_at = -math.inf
-        self._all = False
+        self._last_updates: dict[int, LastUpdate] = {}
+        self._round_at = -math.inf
+        self._update_all = False
         self._typical_cpu = 0.0
-        self._first_left = 0
+        self._immediate_left = 0
         self._now = 0.0
         self._due_at = math.inf
-        self._next_at = math.inf
+        self._next_round_at = math.inf
 
     def remove_stream(self, stream: int) -> None:
-        """Forget a stream that has ended."""
-        self._told.pop(stream, None)
+        """Forget a stream that was closed."""
+        self._last_updates.pop(stream, None)
 
     def begin_round(
         self, links: Iterable[Link], typical_cpu: float, now: float
     ) -> list[Link]:
-        """Prepare for telling entries, and order them: told longest ago first.
+        """Start a round of updates and sort the links, least recently updated first.
 
-        All that wait are told in one go: a timer each would wake the process as often
-        as telling them at once.
+        All entries with postponed updates are updated in the same round. A timer for
+        each of them would wake up the process as often as immediate updates do.
 
-        :param typical_cpu: thousandths of a core of a usual run; 0 while unknown.
+        :param typical_cpu: average CPU need of a run in millicores; 0 while unknown.
+        :param now: current time in seconds.
         """
-        ordered = sorted(links, key=self._find_told_at)
+        ordered = sorted(links, key=self._find_updated_at)
         entries = len(ordered)
         self._typical_cpu = typical_cpu
-        self._first_left = MAX_IMMEDIATE_UPDATES
+        self._immediate_left = MAX_IMMEDIATE_UPDATES
         self._now = now
-        pause = (
+        interval = (
             UPDATE_INTERVAL_SECONDS * entries
             if entries > MAX_UNTHROTTLED_ENTRIES
             else 0.0
         )
-        due_at = self._all_told_at + pause
-        self._all = now >= due_at
+        due_at = self._round_at + interval
+        self._update_all = now >= due_at
         self._due_at = math.inf
-        if self._all:
-            self._all_told_at = now
-            due_at = now + pause
-        self._next_at = due_at
+        if self._update_all:
+            self._round_at = now
+            due_at = now + interval
+        self._next_round_at = due_at
         return ordered
 
-    def _find_told_at(self, link: Link) -> float:
-        told = self._told.get(link.stream)
-        return -math.inf if told is None else told.at
+    def _find_updated_at(self, link: Link) -> float:
+        last = self._last_updates.get(link.stream)
+        return -math.inf if last is None else last.at
 
     def list_due(
-        self, link: Link, news: EndpointNews, room: Room, at_once: bool
+        self, link: Link, news: EndpointNews, room: Room, immediate: bool
     ) -> list[Message]:
-        """List what an entry has to be told now.
+        """List the messages that an entry must be sent now.
 
-        :param at_once: whether the entry is told of a run's end at this moment.
+        :param immediate: whether the entry is being told of the end of one of its runs.
         """
-        told = self._told.setdefault(link.stream, LastUpdate())
+        last = self._last_updates.setdefault(link.stream, LastUpdate())
         due: list[Message] = []
-        if told.news != news:
-            told.news = news
+        if last.news != news:
+            last.news = news
             due.append(news)
-        if told.room == room:
+        if last.room == room:
             return due
-        urgent = at_once or self._all or told.room is None
-        if not urgent and not self._must_know(told.room, room):
-            self._due_at = self._next_at
+        urgent = immediate or self._update_all or last.room is None
+        if not urgent and not self._affects_decisions(last.room, room):
+            self._due_at = self._next_round_at
             return due
-        told.room = room
-        told.at = self._now
+        last.room = room
+        last.at = self._now
         due.append(room)
         return due
 
-    def _must_know(self, told: Room | None, room: Room) -> bool:
-        """Tell whether an entry that waits to be told would decide otherwise now."""
-        had_room = told is not None and told.cpu >= self._typical_cpu
-        has_room = room.cpu >= self._typical_cpu
-        if had_room == has_room:
+    def _affects_decisions(self, last: Room | None, room: Room) -> bool:
+        """Return whether a postponed update would change the decisions of an entry."""
+        did_fit = last is not None and last.cpu >= self._typical_cpu
+        fits = room.cpu >= self._typical_cpu
+        if did_fit == fits:
             return False
-        return had_room or self._take_first_place()
+        return did_fit or self._count_immediate()
 
-    def _take_first_place(self) -> bool:
-        """Count an entry among those told first of room, if there is a place left."""
-        self._first_left -= 1
-        return self._first_left >= 0
+    def _count_immediate(self) -> bool:
+        """Count an entry as updated immediately; return ``False`` above the limit."""
+        self._immediate_left -= 1
+        return self._immediate_left >= 0
 
     def next_wakeup(self) -> float:
-        """Tell when entries that were not told yet are to be told."""
+        """Return the time at which postponed updates are due."""
         return self._due_at
--- a/src/godwitbank/_internal/core/runs/verdicts.py
+++ b/src/godwitbank/_internal/core/runs/verdicts.py
@@ -1,12 +1,13 @@
-"""What an endpoint may answer to an order."""
+"""Possible answers of an endpoint to an order."""
 
 from enum import StrEnum
 
 
 class StartVerdict(StrEnum):
-    """An endpoint's answer to an order to start.
+    """An endpoint's answer to a start order.
 
-    All but ``STARTED`` and ``NO_ANSWER`` mean that nothing was done.
+    With ``STARTED``, the run was started. With ``NO_ANSWER``, it is unknown whether the
+    endpoint carries out the order. All other values mean that nothing was started.
     """
 
     STARTED = "started"
@@ -22,7 +23,7 @@
 
 
 class RenewalVerdict(StrEnum):
-    """Why a lease renewal brought no lists."""
+    """Reason why a lease renewal returned no lists of runs."""
 
     FENCED = "fenced"
     OTHER_INSTANCE = "other_instance"
--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -506,7 +506,7 @@
     Break(
         "an older evacuation undoes a newer",
         f"{LEASED}/evacuations.py",
-        "if told.revision <= self._newest.revision:",
+        "if evacuation.revision <= self._newest.revision:",
         "if False:",
         f"{RUNS}/test_evacuation.py::test_older_knowledge_never_undoes_newer",
     ),
@@ -521,7 +521,7 @@
     Break(
         "nobody hears of evacuated zones",
         f"{LEASED}/evacuations.py",
-        "        self._newest = told\n",
+        "        self._newest = evacuation\n",
         "",
         f"{RUNS}/test_evacuation_exploration.py::"
         "test_nothing_starts_late_in_an_evacuated_zone_under_random_faults",
@@ -538,7 +538,7 @@
     Break(
         "looks at the store wait for as long as they may",
         f"{LEASED}/poll_limits.py",
-        "            unseen * WAIT_SHARE,\n",
+        "            change_timeout * WAIT_SHARE,\n",
         "            20.0,\n",
         "tests/platform/test_watch.py",
     ),
