--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -191,14 +191,14 @@
         "        run.state = RunState.UNCONFIRMED\n",
         "        run.state = RunState.UNCONFIRMED\n"
         "        self._end_run(run, RunEnd.NOT_STARTED)\n        return\n",
-        f"{RUNS}/test_failures.py::test_room_of_an_unanswered_order_stays_taken",
+        f"{RUNS}/test_failures.py::test_unanswered_order_keeps_its_capacity_in_use",
     ),
     Break(
         "an older renewal voids an unanswered order",
         f"{LEASED}/runner.py",
         "            return token > run.token\n",
         "            return True\n",
-        f"{RUNS}/test_failures.py::test_a_doubtful_order_counts_until_a_higher_token_is_known",
+        f"{RUNS}/test_failures.py::test_unconfirmed_order_counts_until_the_endpoint_knows_a_higher_token",
     ),
     Break(
         "restarted agent serves at once",
@@ -206,7 +206,7 @@
         "            self.reconciled\n            and self.reporting\n",
         "            self.reporting\n",
         f"{RUNS}/test_failures.py::"
-        "test_a_restarted_agent_stops_what_its_predecessor_started",
+        "test_restarted_agent_stops_runs_of_the_previous_process",
     ),
     Break(
         "runs of a lost entry go on",
@@ -214,7 +214,7 @@
         "            self.runner.stop_runs_of(link.hello.incarnation)",
         "            pass",
         f"{RUNS}/test_failures.py::"
-        "test_runs_of_a_dead_entry_are_stopped_before_the_caller_comes_again",
+        "test_runs_of_a_dead_entry_are_stopped_before_the_caller_retries",
     ),
     Break(
         "old frames are acted on",
@@ -335,7 +335,7 @@
         "            task.free_at = self._now + LAPSE_SECONDS",
         "            task.free_at = self._now",
         f"{RUNS}/test_failures.py::"
-        "test_an_agent_cut_off_alone_loses_its_runs_and_they_go_elsewhere",
+        "test_runs_of_an_agent_cut_off_from_its_entry_are_placed_elsewhere",
     ),
     Break(
         "nobody is told what was taken",
@@ -359,7 +359,7 @@
         "        return bool(self._lost)",
         "        return False",
         f"{RUNS}/test_failures.py::"
-        "test_a_job_taken_by_an_entry_that_is_cut_off_is_claimed_at_the_agents",
+        "test_job_of_an_entry_that_is_cut_off_is_claimed_at_the_agents",
     ),
     Break(
         "an endpoint without an answer keeps its lease",
@@ -368,7 +368,7 @@
         "            and self._unanswered < MAX_UNANSWERED_RENEWALS\n",
         "            not self._may_have_unknown_runs\n",
         f"{RUNS}/test_failures.py::"
-        "test_runs_of_a_silent_endpoint_go_elsewhere_after_its_lease",
+        "test_runs_of_an_unreachable_endpoint_are_placed_elsewhere_after_its_lease",
     ),
     Break(
         "draining endpoints get what waits",
@@ -376,7 +376,7 @@
         "        return bool(self.instance) and ready and not self.draining",
         "        return bool(self.instance) and ready",
         f"{RUNS}/test_failures.py::"
-        "test_a_draining_endpoint_gets_nothing_new_and_finishes",
+        "test_draining_endpoint_gets_no_new_runs_and_finishes_its_own",
     ),
     Break(
         "older configurations are installed",
@@ -399,15 +399,14 @@
         "        if now < self.ejected_until:\n            return False\n"
         "        return not self.probing",
         "        return True\n        return not self.probing",
-        f"{RUNS}/test_failures.py::test_an_endpoint_that_fails_everything_is_avoided",
+        f"{RUNS}/test_failures.py::test_endpoint_that_fails_every_task_is_avoided",
     ),
     Break(
         "one hopeless job ejects endpoints",
         f"{LEASED}/health.py",
         "EJECT_SHARE = 0.6",
         "EJECT_SHARE = 0.2",
-        f"{RUNS}/test_failures.py::"
-        "test_a_job_that_can_never_be_done_fails_and_ejects_nobody",
+        f"{RUNS}/test_failures.py::test_job_that_always_fails_ejects_no_endpoint",
     ),
     Break(
         "takings of lost entries are not passed on",
@@ -415,7 +414,7 @@
         "        self._tellings.pass_on(link.stream, self._takings, self._now)\n",
         "",
         f"{RUNS}/test_failures.py::"
-        "test_an_entry_killed_and_back_at_once_knows_what_it_had_taken",
+        "test_entry_that_restarts_immediately_knows_its_earlier_jobs",
     ),
     Break(
         "a run waits for room that is gone",
@@ -423,7 +422,7 @@
         "if not order.parks and not self._has_free_capacity(run):",
         "if False:",
         f"{RUNS}/test_failures.py::"
-        "test_two_entries_that_choose_the_same_room_find_other_room_at_once",
+        "test_two_entries_that_choose_one_endpoint_both_start_immediately",
     ),
     Break(
         "slow runs stay where they are",
@@ -431,7 +430,7 @@
         "        if task.moves >= MAX_MOVES or",
         "        if True or",
         f"{RUNS}/test_failures.py::"
-        "test_runs_of_an_endpoint_that_became_slow_go_where_there_is_room",
+        "test_runs_of_an_endpoint_that_became_slow_move_to_free_capacity",
     ),
     Break(
         "late work keeps its place",
--- a/tests/core/runs/test_failures.py
+++ b/tests/core/runs/test_failures.py
@@ -1,7 +1,7 @@
-"""Leased runs under failures: nothing runs twice at once, nothing is overfull.
+"""Tests that leased runs survive failures of processes, links and endpoints.
 
-``RunsWorld`` checks both after every step; the tests bring about the danger and
-say what the callers must see.
+``RunsWorld`` checks after every step that no task runs twice at the same time and that
+no endpoint exceeds its capacity. The tests cause a failure and check what callers get.
 """
 
 import pytest
@@ -13,8 +13,8 @@
 from tests.lib.runs_world import QUEUE, RunsWorld, make_job
 
 
-def find_agents(world: RunsWorld, job: str) -> list[str]:
-    """List the agents whose endpoints run something of a job."""
+def list_agents_running(world: RunsWorld, job: str) -> list[str]:
+    """List the agents whose endpoints run a task of a job."""
     return [
         name
         for name, endpoint in world.endpoints.items()
@@ -22,53 +22,58 @@
     ]
 
 
-def test_an_order_carried_out_late_starts_nothing() -> None:
-    # Symptom: a task runs on two endpoints. Sequence: an order to start gets no
-    # answer; the entry places the task elsewhere; the first endpoint carries the
-    # order out seconds later. Cause: silence was taken for a refusal.
+def test_start_order_without_an_answer_starts_no_second_run() -> None:
+    # Guards against a task that runs on two endpoints because a start order without an
+    # answer is treated as refused: the entry places the task elsewhere, and the first
+    # endpoint carries the order out seconds later.
     world = make_world(agents=2)
-    lost = []
+    lost_orders = []
 
-    def lose_first(order) -> float | None:
-        if lost:
+    def lose_first_start(order) -> float | None:
+        if lost_orders:
             return None
-        lost.append(order)
+        lost_orders.append(order)
         return 2.0
 
-    world.lose_start = lose_first
+    world.lose_start = lose_first_start
     world.submit("entry-0", make_job("j1", seconds=3.0))
     world.run(6.0)
     assert world.get_ends("j1") == ["completed"]
-    starts = [each for e in world.endpoints.values() if e for each in e.started]
+    starts = [
+        each
+        for endpoint in world.endpoints.values()
+        if endpoint
+        for each in endpoint.started
+    ]
     assert len(starts) == 1
 
 
-def test_a_doubtful_order_counts_until_a_higher_token_is_known() -> None:
-    # Symptom: a task runs on two endpoints. Sequence: an order gets no answer; a
-    # renewal sent before it comes back without the run; renewals with the raised
-    # token are lost; the order is carried out. Cause: the older renewal was taken
-    # for proof that the order is void.
+def test_unconfirmed_order_counts_until_the_endpoint_knows_a_higher_token() -> None:
+    # Guards against a task that runs on two endpoints. An order gets no answer, and the
+    # answer to a renewal sent before it doesn't list the run. That doesn't prove that
+    # the order is void: while renewals with the raised token are lost, the endpoint
+    # still carries it out.
     world = make_world(agents=2)
     began = world.now
-    lost = []
+    lost_orders = []
 
-    def lose_first(order) -> float | None:
-        if lost:
+    def lose_first_start(order) -> float | None:
+        if lost_orders:
             return None
-        lost.append(order)
+        lost_orders.append(order)
         return 0.3
 
-    world.lose_start = lose_first
+    world.lose_start = lose_first_start
     world.lose_hold = lambda agent: began + 0.05 < world.now < began + 0.35
     world.submit("entry-0", make_job("j1", seconds=2.0))
     world.run(5.0)
     assert world.get_ends("j1") == ["completed"]
 
 
-def test_room_of_an_unanswered_order_stays_taken() -> None:
-    # Symptom: an endpoint is over its capacity. Sequence: orders that fill it get
-    # no answer but are carried out; their room is given to other tasks. Cause:
-    # room was freed before it was certain that the orders are void.
+def test_unanswered_order_keeps_its_capacity_in_use() -> None:
+    # Guards against an endpoint that exceeds its capacity: orders that fill it get no
+    # answer but are carried out, and their capacity is given to other tasks before the
+    # orders are certain to be void.
     world = make_world(agents=1)
     world.lose_start = lambda order: 0.01 if order.task.startswith("j1") else None
     world.submit("entry-0", make_job("j1", width=10, seconds=1.0))
@@ -78,25 +83,25 @@
     assert world.get_ends("j2") == ["completed"]
 
 
-def test_runs_of_a_dead_entry_are_stopped_before_the_caller_comes_again() -> None:
-    # Symptom: a task runs twice. Sequence: an entry loses power; its caller
-    # submits the job again to another entry 1.3 s later, while the runs of the
-    # first go on. Cause: agents kept the runs of an entry that was gone.
+def test_runs_of_a_dead_entry_are_stopped_before_the_caller_retries() -> None:
+    # Guards against a task that runs twice because agents keep the runs of a dead
+    # entry: an entry loses power, and its caller submits the job to another entry 1.3 s
+    # later.
     world = make_world()
     world.submit("entry-0", make_job("j1", width=4, seconds=3.0))
     world.run(0.2)
     world.darken("entry-0")
     world.run(1.3)
-    assert not find_agents(world, "j1")
+    assert not list_agents_running(world, "j1")
     world.submit("entry-1", make_job("j1", width=4, seconds=3.0))
     world.run(8.0)
     assert world.get_ends("j1") == ["completed"]
 
 
-def test_a_job_submitted_elsewhere_is_stopped_where_it_was() -> None:
-    # Symptom: a task runs twice. Sequence: the caller's connection goes silent;
-    # its entry doesn't notice; the caller submits again to another entry. Cause:
-    # the second entry didn't ask the first to stop.
+def test_job_submitted_to_another_entry_is_stopped_at_the_first() -> None:
+    # Guards against a task that runs twice because the second entry doesn't ask the
+    # first one to stop: the caller's connection fails without its entry noticing, and
+    # the caller submits the job to another entry.
     world = make_world()
     world.submit("entry-0", make_job("j1", width=4, seconds=2.0))
     world.run(1.0)
@@ -106,10 +111,10 @@
     assert world.processes["entry-0"].core.dispatcher.jobs == {}
 
 
-def test_a_job_whose_first_entry_was_frozen_runs_once_at_a_time() -> None:
-    # Symptom: a task runs twice. Sequence: an entry freezes with runs at agents;
-    # the caller submits again elsewhere; the first wakes up and starts its tasks
-    # again. Cause: the woken entry acted on what it believed before.
+def test_job_of_a_suspended_entry_runs_once_at_a_time() -> None:
+    # Guards against a task that runs twice because an entry acts on outdated state
+    # after a suspension: it is suspended with runs at agents, the caller submits the
+    # job to another entry, and the first one resumes and starts its tasks again.
     world = make_world()
     world.submit("entry-0", make_job("j1", width=4, seconds=2.0))
     world.run(0.2)
@@ -122,10 +127,10 @@
     assert "completed" in world.get_ends("j1")
 
 
-def test_a_frozen_agent_acts_on_nothing_old() -> None:
-    # Symptom: a task runs twice. Sequence: an agent freezes; entries start its
-    # tasks elsewhere once its leases have lapsed; it wakes up and finds orders
-    # in its sockets. Cause: it carried out what its senders had given up.
+def test_suspended_agent_ignores_outdated_orders() -> None:
+    # Guards against a task that runs twice: an agent is suspended, entries start its
+    # tasks elsewhere once its leases have ended, and the agent resumes and carries out
+    # orders left in its sockets that their senders have given up.
     world = make_world(agents=2)
     world.freeze("agent-0")
     world.submit("entry-0", make_job("j1", width=12, seconds=2.0))
@@ -135,10 +140,10 @@
     assert world.get_ends("j1") == ["completed"]
 
 
-def test_an_agent_cut_off_alone_loses_its_runs_and_they_go_elsewhere() -> None:
-    # Symptom: a job never ends, or a task runs twice. Sequence: the link between
-    # one entry and one agent is cut while a run goes on. Cause: the entry can't
-    # tell a dead agent from a cut.
+def test_runs_of_an_agent_cut_off_from_its_entry_are_placed_elsewhere() -> None:
+    # Guards against a job that never ends, or a task that runs twice, when the link
+    # between an entry and an agent is cut during a run. The entry can't tell this from
+    # a dead agent.
     world = make_world(entries=1, agents=2)
     world.submit("entry-0", make_job("j1", width=12, seconds=2.0))
     world.run(0.2)
@@ -147,10 +152,10 @@
     assert world.get_ends("j1") == ["completed"]
 
 
-def test_a_restarted_agent_stops_what_its_predecessor_started() -> None:
-    # Symptom: an endpoint is over its capacity. Sequence: an agent is killed and
-    # restarted within the lease; it counts the room as free that the runs of its
-    # predecessor take. Cause: a restarted agent knows nothing of them.
+def test_restarted_agent_stops_runs_of_the_previous_process() -> None:
+    # Guards against an endpoint that exceeds its capacity: an agent is killed and
+    # restarted within the lease, doesn't know the runs of the previous process, and
+    # counts the capacity they use as free.
     world = make_world(agents=1)
     world.submit("entry-0", make_job("j1", width=5, seconds=2.0))
     world.run(0.2)
@@ -166,21 +171,21 @@
     assert world.get_ends("j2") == ["completed"]
 
 
-def test_runs_of_a_silent_endpoint_go_elsewhere_after_its_lease() -> None:
-    # Symptom: a job hangs. Sequence: an endpoint loses power; its agent's calls
-    # get no answer. Cause: renewals without an answer kept extending the lease
-    # that the agent waited for.
+def test_runs_of_an_unreachable_endpoint_are_placed_elsewhere_after_its_lease() -> None:
+    # Guards against a job that hangs because unanswered renewals keep extending the
+    # lease that the agent waits for: an endpoint loses power, and calls to it get no
+    # answer.
     world = make_world(agents=2)
     world.submit("entry-0", make_job("j1", width=12, seconds=1.0))
     world.run(0.2)
-    world.crash_endpoint(find_agents(world, "j1")[0])
+    world.crash_endpoint(list_agents_running(world, "j1")[0])
     world.run(5.0)
     assert world.get_ends("j1") == ["completed"]
 
 
-def test_an_endpoint_that_boots_anew_has_lost_its_runs() -> None:
-    # Symptom: a job hangs until its deadline. Sequence: an endpoint crashes and
-    # another boot reports at once. Cause: the agent waited for runs of the old.
+def test_rebooted_endpoint_has_lost_its_runs() -> None:
+    # Guards against a job that hangs until its deadline because the agent waits for
+    # runs of an earlier boot: an endpoint crashes, and a new boot reports immediately.
     world = make_world(agents=1)
     world.submit("entry-0", make_job("j1", width=4, seconds=1.0))
     world.run(0.2)
@@ -189,45 +194,45 @@
     assert world.get_ends("j1") == ["completed"]
 
 
-def test_a_draining_endpoint_gets_nothing_new_and_finishes() -> None:
-    # Symptom: a task starts on an endpoint that said it leaves. Cause: runs that
-    # waited at its agent were started after that word.
+def test_draining_endpoint_gets_no_new_runs_and_finishes_its_own() -> None:
+    # Guards against a task that starts on an endpoint after it has reported that it
+    # drains, because it was parked at the agent.
     world = make_world(agents=2)
     world.submit("entry-0", make_job("j1", width=24, seconds=0.5))
     world.run(0.1)
     endpoint = world.endpoints["agent-0"]
     assert endpoint is not None
     endpoint.draining = True
-    world.processes["agent-0"].give(_report(world, "agent-0"))
+    world.processes["agent-0"].give(_make_report_event(world, "agent-0"))
     before = len(endpoint.started)
     world.run(3.0)
     assert world.get_ends("j1") == ["completed"]
     assert len(endpoint.started) == before
 
 
-def _report(world: RunsWorld, name: str):
+def _make_report_event(world: RunsWorld, name: str):
     endpoint = world.endpoints[name]
     assert endpoint is not None
     return Reported(endpoint.report(world.now))
 
 
-def test_a_late_report_of_a_former_boot_changes_nothing() -> None:
-    # Symptom: orders go to an endpoint that has crashed. Sequence: a report that
-    # a cut held up arrives after another boot has reported. Cause: the newest
-    # arrival was taken for the newest report.
+def test_delayed_report_of_an_earlier_boot_is_ignored() -> None:
+    # Guards against orders to an endpoint that has crashed, because the report that
+    # arrived last is taken for the newest: a network cut delays a report until another
+    # boot of the endpoint has reported.
     world = make_world(agents=1)
-    late = _report(world, "agent-0")
-    newer = world.boot_endpoint("agent-0")
+    delayed = _make_report_event(world, "agent-0")
+    new_boot = world.boot_endpoint("agent-0")
     world.run(0.2)
-    world.processes["agent-0"].give(late)
-    assert world.processes["agent-0"].core.endpoint.instance == newer.instance
+    world.processes["agent-0"].give(delayed)
+    assert world.processes["agent-0"].core.endpoint.instance == new_boot.instance
 
 
-def test_a_report_of_a_boot_that_is_not_there_ends_nothing() -> None:
-    # Symptom: all runs of a sound endpoint are counted as lost, and it gets no work
-    # any more. Sequence: another writer reports a boot of its own at the agent's
-    # address; later the endpoint reports again. Cause: any other boot was believed
-    # to have replaced the present one, which then counted as a former one for ever.
+def test_report_of_a_boot_that_does_not_exist_ends_no_runs() -> None:
+    # Guards against a healthy endpoint that loses all its runs and gets no more work. A
+    # foreign writer reports another boot at the agent's address. If that replaced the
+    # current boot, the endpoint's own later reports would be ignored for good as those
+    # of an earlier boot.
     world = make_world(agents=1)
     world.submit("entry-0", make_job("j1", width=4, seconds=1.0))
     world.run(0.2)
@@ -243,10 +248,10 @@
     assert len(endpoint.started) == 4
 
 
-def test_a_report_of_the_present_boot_can_not_change_its_service() -> None:
-    # Symptom: an endpoint gets no work until its next report. Sequence: another
-    # writer reports the endpoint's id with a service that nobody named. Cause: each
-    # report's service was taken over, though it never changes within a boot.
+def test_report_of_the_current_boot_can_not_change_its_service() -> None:
+    # Guards against an endpoint that gets no work until its next report: a foreign
+    # writer reports the endpoint's id with an unknown service, although the service
+    # never changes within a boot.
     world = make_world(agents=1)
     endpoint = world.endpoints["agent-0"]
     assert endpoint is not None
@@ -254,58 +259,58 @@
     world.processes["agent-0"].give(Reported(foreign))
     assert world.processes["agent-0"].core.endpoint.service == QUEUE.service
     world.run(2.0)
-    # Nor may its sequence hide the endpoint's own later reports.
+    # Nor may its sequence number make the endpoint's own later reports look outdated.
     endpoint.draining = True
     world.run(2.0)
     assert not world.processes["agent-0"].core.open
 
 
-def test_a_new_boot_is_found_though_the_former_one_left_nothing_running() -> None:
-    # Symptom: an endpoint that was booted anew gets no work. Sequence: it crashes
-    # while idle and reports as another boot. Cause: nothing asked whether the
-    # former one was still there, so the report stayed doubtful.
+def test_new_boot_is_detected_though_the_earlier_one_had_no_runs() -> None:
+    # Guards against a rebooted endpoint that gets no work: it crashes while idle and
+    # reports as another boot. If no renewal checked whether the earlier boot still
+    # answers, the report would stay unverified.
     world = make_world(agents=1)
     world.crash_endpoint("agent-0")
-    newer = world.boot_endpoint("agent-0")
+    new_boot = world.boot_endpoint("agent-0")
     world.run(0.1)
     agent = world.processes["agent-0"].core
-    assert agent.endpoint.instance == newer.instance
+    assert agent.endpoint.instance == new_boot.instance
     assert agent.open
 
 
-def test_a_new_boot_is_found_though_orders_are_not_answered() -> None:
-    # Symptom: as above. Sequence: the new boot reports, but calls to it get no
-    # answer for a while. Cause: only an answer could settle which boot is there.
+def test_new_boot_is_detected_though_calls_get_no_answer() -> None:
+    # Guards against the same failure when the new boot reports, but calls to it get no
+    # answer for a while, so that no answer tells which boot is running.
     world = make_world(agents=1)
     world.lose_hold = lambda agent: True
-    newer = world.boot_endpoint("agent-0")
+    new_boot = world.boot_endpoint("agent-0")
     world.run(1.0)
     world.lose_hold = lambda agent: False
     world.run(0.5)
     agent = world.processes["agent-0"].core
-    assert agent.endpoint.instance == newer.instance
+    assert agent.endpoint.instance == new_boot.instance
     assert agent.open
 
 
-def test_an_endpoint_that_fails_everything_is_avoided() -> None:
-    # Symptom: jobs fail. Sequence: one endpoint fails all it starts, at once, so
-    # it looks free and draws all work. Cause: room was all that placing looked at.
+def test_endpoint_that_fails_every_task_is_avoided() -> None:
+    # Guards against an endpoint that fails all its tasks immediately and therefore
+    # looks free and attracts all work, because placement considers only free capacity.
     world = make_world(agents=3)
-    grey = world.endpoints["agent-0"]
-    assert grey is not None
-    grey.behaviour = Behaviour(fails=True)
+    failing = world.endpoints["agent-0"]
+    assert failing is not None
+    failing.behaviour = Behaviour(fails=True)
     for number in range(20):
         world.submit("entry-0", make_job(f"j{number}", width=2, seconds=0.2))
         world.run(0.1)
     world.run(2.0)
     ends = [world.get_ends(f"j{number}") for number in range(20)]
     assert ends == [["completed"]] * 20
-    assert len(grey.started) < 10
+    assert len(failing.started) < 10
 
 
-def test_a_job_that_can_never_be_done_fails_and_ejects_nobody() -> None:
-    # Symptom: all endpoints are ejected by one hopeless job. Cause: a task that
-    # fails everywhere was taken for endpoints that fail everything.
+def test_job_that_always_fails_ejects_no_endpoint() -> None:
+    # Guards against a single job that fails everywhere and gets all endpoints ejected,
+    # because it is mistaken for endpoints that fail every task.
     world = make_world(agents=4)
     for endpoint in world.endpoints.values():
         assert endpoint is not None
@@ -317,9 +322,9 @@
     assert not [view for view in views if view.health.ejected_until > world.now]
 
 
-def test_a_run_that_stands_still_is_stopped_and_moved() -> None:
-    # Symptom: a job hangs. Sequence: an endpoint holds its runs, renews, and
-    # makes no progress. Cause: nothing looked at progress.
+def test_stalled_run_is_stopped_and_moved() -> None:
+    # Guards against a job that hangs because progress isn't checked: an endpoint keeps
+    # its runs and answers renewals but makes no progress.
     world = make_world(agents=2)
     slow = world.endpoints["agent-0"]
     assert slow is not None
@@ -330,8 +335,7 @@
 
 
 def test_one_lost_renewal_loses_no_run() -> None:
-    # Symptom: runs lapse. Cause: the lease was so short that one lost answer
-    # let it run out.
+    # Guards against a lease so short that it ends when one answer to a renewal is lost.
     world = make_world(agents=1)
     world.submit("entry-0", make_job("j1", width=4, seconds=2.0))
     world.run(0.1)
@@ -349,18 +353,18 @@
     assert len(endpoint.started) == 4
 
 
-def test_a_caller_that_hangs_up_frees_its_room() -> None:
+def test_caller_that_disconnects_frees_capacity() -> None:
     world = make_world(agents=1)
     caller = world.submit("entry-0", make_job("j1", width=10, seconds=3.0))
     world.run(0.2)
     world.hang_up("entry-0", caller)
     world.run(0.2)
-    assert not find_agents(world, "j1")
+    assert not list_agents_running(world, "j1")
 
 
-def test_a_job_refused_as_not_run_never_starts() -> None:
-    # Symptom: a caller was told that its job has not run, and it has. Cause: a
-    # refusal went out after something had been sent to an agent.
+def test_job_refused_as_not_run_never_starts() -> None:
+    # Guards against a caller that is told that its job has not run although it has,
+    # because the refusal is sent after an order was sent to an agent.
     world = make_world(agents=1)
     world.submit("entry-0", make_job("first", width=40, seconds=3.0))
     world.run(0.1)
@@ -379,9 +383,9 @@
     assert not refused & started
 
 
-def test_a_restarted_agent_serves_before_the_next_report() -> None:
-    # Symptom: an endpoint gets no work for up to 1.5 s after its agent was
-    # restarted. Cause: the agent waited for the endpoint's next report.
+def test_restarted_agent_serves_before_the_next_report() -> None:
+    # Guards against an endpoint that gets no work for up to 1.5 s after a restart of
+    # its agent, because the agent waits for the endpoint's next report.
     world = make_world(agents=1)
     world.kill("agent-0")
     agent = world.add_agent("agent-0")
@@ -390,10 +394,10 @@
     assert agent.core.open
 
 
-def test_a_report_recalled_of_an_earlier_boot_is_found_out() -> None:
-    # Symptom: runs are lost on an endpoint that isn't there. Sequence: agent and
-    # endpoint crash together; the new agent recalls the report of the old boot,
-    # whose capacity may differ. Cause: what was kept was taken for what is.
+def test_stored_report_of_an_earlier_boot_is_detected() -> None:
+    # Guards against runs that are lost on an endpoint that no longer exists: agent and
+    # endpoint crash together, and the new agent trusts the stored report of the earlier
+    # boot, which may have another capacity.
     world = make_world(agents=1)
     world.kill("agent-0")
     smaller = Resources(8000, 65536, 0)
@@ -408,10 +412,10 @@
     assert agent.core.held_runs.capacity.cpu == 8000
 
 
-def test_a_job_waits_for_agents_that_are_just_back() -> None:
-    # Symptom: all jobs are refused for a second after everything was restarted.
-    # Cause: agents that were connected but had not heard of their endpoints yet
-    # counted as absent.
+def test_job_waits_for_agents_that_have_just_restarted() -> None:
+    # Guards against jobs that are refused for a second after a restart of all
+    # processes, because agents that are connected but have no report of their endpoint
+    # yet are counted as absent.
     world = make_world(agents=1)
     world.kill("agent-0")
     world.run(0.1)
@@ -422,10 +426,10 @@
     assert world.get_ends("j1") == ["completed"]
 
 
-def test_a_job_that_can_not_wait_for_agents_is_refused_at_once() -> None:
-    # Symptom: callers get no answer for a second and then learn that their jobs have
-    # not run. Sequence: all agents are dark; entries are back first and take what
-    # comes. Cause: a job was taken though its slack was shorter than agents need.
+def test_job_that_can_not_wait_for_agents_is_refused_immediately() -> None:
+    # Guards against callers that wait a second to learn that their jobs have not run:
+    # all agents are unreachable, entries restart first, and they accept jobs whose
+    # slack is shorter than the time that agents need.
     world = make_world(agents=1)
     world.kill("agent-0")
     world.run(0.1)
@@ -438,10 +442,10 @@
     assert result.retry_after
 
 
-def test_a_job_that_waits_is_answered_when_the_last_endpoint_is_gone() -> None:
-    # Symptom: a caller waits for three times its objective for "not run". Sequence:
-    # its job waits for room, then the only endpoint crashes. Cause: late work waited
-    # although nothing was there that could do it.
+def test_waiting_job_is_answered_when_the_last_endpoint_is_gone() -> None:
+    # Guards against a caller that waits three times its latency target for a "not run"
+    # answer: its job waits for capacity, the only endpoint crashes, and late jobs keep
+    # waiting although no endpoint is left.
     world = make_world(agents=1)
     world.submit("entry-0", make_job("j1", width=10, seconds=0.6))
     world.run(0.3)
@@ -452,10 +456,10 @@
     assert [(r.end, r.ran) for r in world.results["j2"]] == [("refused", False)]
 
 
-def test_a_job_taken_by_an_entry_that_is_cut_off_is_claimed_at_the_agents() -> None:
-    # Symptom: a task runs twice. Sequence: two entries lose each other, not the
-    # agents; one takes a job; its caller's connection breaks and it goes to the
-    # other. Cause: the second entry couldn't know of the first one's runs.
+def test_job_of_an_entry_that_is_cut_off_is_claimed_at_the_agents() -> None:
+    # Guards against a task that runs twice: two entries lose contact to each other but
+    # not to the agents, and a caller of the first entry loses its connection and
+    # retries at the second, which can't know of the runs of the first.
     world = make_world()
     world.cut_link("entry-0", "entry-1")
     world.run(1.0)
@@ -467,10 +471,10 @@
     assert not world.processes["entry-0"].core.dispatcher.jobs
 
 
-def test_an_entry_started_later_knows_what_others_have_taken() -> None:
-    # Symptom: a task runs twice. Sequence: a job is in flight at one entry; another
-    # is started; the caller's connection breaks unnoticed and it goes to the new
-    # one. Cause: takings were told only when they happened.
+def test_entry_started_later_knows_the_jobs_of_other_entries() -> None:
+    # Guards against a task that runs twice because ownership of a job is announced only
+    # when it is accepted: another entry starts while the job is in flight, and the
+    # caller loses its connection unnoticed and retries there.
     world = make_world(entries=1)
     world.submit("entry-0", make_job("j1", width=4, seconds=2.5))
     world.run(0.2)
@@ -481,10 +485,10 @@
     assert "completed" in world.get_ends("j1")
 
 
-def test_an_entry_that_wakes_up_gives_way_to_the_newest_taker() -> None:
-    # Symptom: a task runs twice. Sequence: an entry is suspended; another takes its
-    # job; the first wakes up and starts the job's tasks again. Cause: a reconnected
-    # entry kept what another had taken over.
+def test_resumed_entry_yields_to_the_newest_owner() -> None:
+    # Guards against a task that runs twice because a reconnected entry keeps a job that
+    # was taken over: the entry is suspended, another takes over its job, and the first
+    # resumes and starts the tasks again.
     world = make_world()
     world.submit("entry-0", make_job("j1", width=4, seconds=1.0))
     world.run(0.2)
@@ -499,16 +503,17 @@
     assert "completed" in world.get_ends("j1")
 
 
-def test_an_entry_killed_and_back_at_once_knows_what_it_had_taken() -> None:
-    # Symptom: a task runs on two endpoints. Sequence: an agent is killed while its
-    # run lives on under the lease; the entry is killed and back at once; the caller,
-    # whose connection had broken before, submits the job there again. Cause: peers
-    # told the new process what they had taken, not what its former self had.
+def test_entry_that_restarts_immediately_knows_its_earlier_jobs() -> None:
+    # Guards against a task that runs on two endpoints. An agent is killed while its run
+    # goes on under the lease, the entry is killed and restarts immediately, and the
+    # caller, whose connection had failed before, submits the job there again. So peers
+    # must announce to the new process not only their own jobs but also those of the
+    # previous process.
     world = make_world(entries=2, agents=2)
     job = make_job("j1", width=12, seconds=3.0)
     world.submit("entry-0", job)
     world.run(0.3)
-    assert find_agents(world, "j1") == ["agent-0", "agent-1"]
+    assert list_agents_running(world, "j1") == ["agent-0", "agent-1"]
     world.kill("agent-0")
     world.run(0.1)
     world.kill("entry-0")
@@ -519,10 +524,10 @@
     assert "completed" in world.get_ends("j1")
 
 
-def test_two_entries_that_choose_the_same_room_find_other_room_at_once() -> None:
-    # Symptom: a short run waits at a full endpoint while another has room. Sequence:
-    # two entries choose the same endpoint before either hears of the other's choice.
-    # Cause: the later run waited there for room.
+def test_two_entries_that_choose_one_endpoint_both_start_immediately() -> None:
+    # Guards against a short run that waits at a full endpoint while another has free
+    # capacity: two entries choose the same endpoint before either learns of the other's
+    # choice, and the later run is parked there.
     world = make_world(entries=2, agents=2)
     for entry in ("entry-0", "entry-1"):
         world.submit(entry, make_job(f"of-{entry}", width=10, seconds=1.0))
@@ -531,9 +536,9 @@
     assert running == [10, 10]
 
 
-def test_runs_of_an_endpoint_that_became_slow_go_where_there_is_room() -> None:
-    # Symptom: a caller waits for seconds on a task of half a second. Cause: its
-    # endpoint became slow, and nothing looked at how the run got on.
+def test_runs_of_an_endpoint_that_became_slow_move_to_free_capacity() -> None:
+    # Guards against a caller that waits seconds for a task of half a second, because
+    # its endpoint became slow and the progress of the run isn't checked.
     world = make_world(agents=3)
     slow = world.endpoints["agent-0"]
     assert slow is not None
@@ -552,17 +557,17 @@
     return [life.task for life in endpoint.lives if life.ended > at] + [*endpoint.alive]
 
 
-@pytest.mark.parametrize("deaf", [False, True])
-def test_a_task_that_starts_late_is_stopped_if_its_job_was_cancelled(
-    deaf: bool,
+@pytest.mark.parametrize("unresponsive", [False, True])
+def test_task_that_starts_late_is_stopped_if_its_job_was_cancelled(
+    unresponsive: bool,
 ) -> None:
-    # Symptom: a task runs for seconds after its caller was told that the job is
-    # cancelled. Sequence: an order isn't answered, its caller leaves, the endpoint
-    # carries the order out 2 s later; it answers no renewal meanwhile, or does.
-    # Cause: the agent would have forgotten an order that it had doubted.
+    # Guards against a task that runs for seconds after its job was cancelled. A start
+    # order gets no answer, its caller disconnects, and the endpoint carries the order
+    # out 2 s later, with or without answering renewals in the meantime. The agent must
+    # not forget the unconfirmed order before that.
     world = make_world(agents=1)
     world.lose_start = lambda order: 2.0
-    world.lose_hold = lambda agent: deaf
+    world.lose_hold = lambda agent: unresponsive
     caller = world.submit("entry-0", make_job("j1", seconds=8.0))
     world.run(0.05)
     world.hang_up("entry-0", caller)
@@ -572,10 +577,10 @@
     assert _list_runs_after(world, "agent-0", world.now - 0.3) == []
 
 
-def test_a_task_that_starts_late_is_stopped_if_its_starter_was_removed() -> None:
-    # Symptom: as above. Sequence: the agent that gave the order is killed and
-    # another takes its place, and its entry is removed for good; then the endpoint
-    # carries the order out. Cause: nobody would have known the order.
+def test_task_that_starts_late_is_stopped_if_its_agent_was_replaced() -> None:
+    # Guards against the same failure when no process is left that knows the order: the
+    # agent that sent it is killed and replaced, its entry is removed for good, and then
+    # the endpoint carries the order out.
     world = make_world(agents=1, entries=2)
     world.lose_start = lambda order: 2.0
     world.submit("entry-0", make_job("j1", seconds=8.0))
@@ -589,11 +594,10 @@
     assert _list_runs_after(world, "agent-0", world.now - 0.3) == []
 
 
-def test_an_agent_that_is_overdue_gets_nothing_new() -> None:
-    # Symptom: jobs are late by two seconds after a VM lost its power. Sequence: its
-    # agent says nothing any more; until its stream counts as dead, entries send it
-    # work for the room they think it has. Cause: that it should have been heard by
-    # then told them nothing.
+def test_agent_with_overdue_heartbeat_gets_no_new_runs() -> None:
+    # Guards against jobs that are two seconds late after a VM loses power: its agent is
+    # silent, and until its stream times out, entries send it work for the capacity that
+    # it last reported. An overdue heartbeat must stop that.
     world = make_world(entries=1, agents=2)
     world.submit("entry-0", make_job("j1", width=8, seconds=3.0))
     world.run(0.3)
@@ -606,7 +610,7 @@
 
 @pytest.mark.parametrize("seconds", [0.9, 1.5, 2.5])
 def test_an_endpoint_that_was_deaf_for_a_while_gets_work_again(seconds: float) -> None:
-    """Guards against an endpoint that stays closed though it answers again."""
+    """Guards against an endpoint that gets no work though it answers again."""
     world = make_world(entries=1, agents=1)
     world.submit("entry-0", make_job("j1", width=2, seconds=1.8))
     world.run(0.2)
