--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -500,14 +500,14 @@
         "return zone in self._newest.zones",
         "return False",
         f"{RUNS}/test_evacuation.py::"
-        "test_an_agent_refuses_orders_of_an_entry_that_knows_less",
+        "test_agent_refuses_orders_of_an_entry_with_outdated_state",
     ),
     Break(
         "an older evacuation undoes a newer",
         f"{LEASED}/evacuations.py",
         "if evacuation.revision <= self._newest.revision:",
         "if False:",
-        f"{RUNS}/test_evacuation.py::test_older_knowledge_never_undoes_newer",
+        f"{RUNS}/test_evacuation.py::test_older_evacuation_never_replaces_a_newer_one",
     ),
     Break(
         "entries place in evacuated zones, and agents take it",
@@ -515,7 +515,7 @@
         "        self.evacuated = evacuated\n",
         "",
         f"{RUNS}/test_evacuation.py::"
-        "test_an_agent_refuses_orders_of_an_entry_that_knows_less",
+        "test_agent_refuses_orders_of_an_entry_with_outdated_state",
     ),
     Break(
         "nobody hears of evacuated zones",
@@ -523,7 +523,7 @@
         "        self._newest = evacuation\n",
         "",
         f"{RUNS}/test_evacuation_exploration.py::"
-        "test_nothing_starts_late_in_an_evacuated_zone_under_random_faults",
+        "test_no_run_starts_late_in_an_evacuated_zone_under_random_faults",
     ),
     Break(
         "new streams are not told what is evacuated",
@@ -532,7 +532,7 @@
         "        self._send_evacuation(event.stream)\n",
         "",
         f"{RUNS}/test_evacuation.py::"
-        "test_entries_and_agents_that_start_meanwhile_know_before_the_first_order",
+        "test_new_entries_and_agents_know_an_evacuation_before_the_first_order",
     ),
     Break(
         "looks at the store wait for as long as they may",
--- a/tests/core/runs/test_deployment.py
+++ b/tests/core/runs/test_deployment.py
@@ -1,4 +1,4 @@
-"""Figures that settings tell are kept to."""
+"""Tests that the values of a deployment are respected."""
 
 import pytest
 
@@ -14,7 +14,7 @@
 
 
 def make_world(deployment: Deployment) -> RunsWorld:
-    """Make a small world whose endpoints are of a deployment."""
+    """Make a small world with the values of a deployment."""
     world = RunsWorld(deployment=deployment)
     for number in range(2):
         world.add_entry(f"entry-{number}")
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("longest", [0.4, 1.0, 2.0])
-def test_no_lease_is_longer_than_endpoints_and_callers_allow(longest: float) -> None:
+def test_lease_length_is_limited(longest: float) -> None:
     clock = EndpointClock(Deployment(max_lease_seconds=longest).granted_lease_seconds)
     clock.update(1000, NOW)
     until = clock.grant(NOW, NOW + 10.0)
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("period", [0.5, 1.5, 3.0])
-def test_an_endpoint_counts_as_gone_after_three_reports_that_are_missing(
+def test_endpoint_counts_as_gone_after_three_missed_reports(
     period: float,
 ) -> None:
     world = make_world(DEFAULT_DEPLOYMENT._replace(report_interval_seconds=period))
@@ -45,7 +45,7 @@
     assert not agent.core.endpoint.reporting
 
 
-def test_jobs_wait_for_endpoints_that_report_seldom() -> None:
+def test_jobs_wait_for_endpoints_with_a_long_report_interval() -> None:
     world = RunsWorld(
         deployment=DEFAULT_DEPLOYMENT._replace(report_interval_seconds=3.0)
     )
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("longest", [0.5, 2.0])
-def test_long_runs_live_on_whatever_leases_endpoints_allow(longest: float) -> None:
+def test_long_runs_finish_with_any_length_of_lease(longest: float) -> None:
     world = make_world(DEFAULT_DEPLOYMENT._replace(max_lease_seconds=longest))
     world.submit("entry-0", make_job("j1", width=4, seconds=5.0))
     world.run(6.0)
--- a/tests/core/runs/test_evacuation_exploration.py
+++ b/tests/core/runs/test_evacuation_exploration.py
@@ -1,4 +1,4 @@
-"""Zones that are evacuated and taken back while all else fails, too."""
+"""Random tests that evacuate zones and take them back during other faults."""
 
 from collections.abc import Callable
 
@@ -15,32 +15,35 @@
 
 
 class EvacuationExplorer(Explorer):
-    """Explores zones that operators empty and take back, some unheard at first."""
+    """Adds evacuations and outages of the store to the random events.
+
+    Entries without the store learn of an evacuation only from others.
+    """
 
     def __init__(self, seed: int, size: Size = SIZE) -> None:
         super().__init__(seed, size=size, zones=ZONES)
 
     def list_kinds(self) -> list[Callable[[], None]]:
-        """List what may happen."""
-        mine = [self.evacuate, self.evacuate, self.take_back, self.lose_store]
-        return [*super().list_kinds(), *mine * 2]
+        """List the possible events."""
+        own_events = [self.evacuate, self.evacuate, self.take_back, self.lose_store]
+        return [*super().list_kinds(), *own_events * 2]
 
     def _pick_zone(self) -> str:
         return f"zone-{self.rng.randint(1, ZONES)}"
 
     def evacuate(self) -> None:
-        """Empty a zone; perhaps its endpoints have just become cold."""
+        """Evacuate a zone; its endpoints may be cold."""
         zone = self._pick_zone()
         self.world.evacuate(zone)
-        self._chill(zone)
+        self._make_cold(zone)
 
     def take_back(self) -> None:
-        """Take a zone back; perhaps its endpoints are cold."""
+        """Take a zone back; its endpoints may be cold."""
         zone = self._pick_zone()
-        self._chill(zone)
+        self._make_cold(zone)
         self.world.take_back(zone)
 
-    def _chill(self, zone: str) -> None:
+    def _make_cold(self, zone: str) -> None:
         until = self.world.now + self.rng.choice((0.0, 1.0, 4.0))
         for name in self.agents:
             endpoint = self.world.endpoints[name]
@@ -48,12 +51,12 @@
                 endpoint.cold_until = until
 
     def lose_store(self) -> None:
-        """Let the store turn an entry away for a while."""
+        """Make the store unavailable to an entry for some time."""
         name = self.rng.choice(self.entries)
         self.world.store_away.add(name)
-        self.world.after(self.rng.choice((0.5, 2.0, 4.0)), self._regain_store)
+        self.world.after(self.rng.choice((0.5, 2.0, 4.0)), self._restore_store)
 
-    def _regain_store(self) -> None:
+    def _restore_store(self) -> None:
         self.world.store_away.clear()
         self.world.tell_evacuation()
 
@@ -64,30 +67,30 @@
 
     def calm_down(self) -> None:
         """End all faults and evacuations."""
-        self._regain_store()
+        self._restore_store()
         for zone in list(self.world.evacuated):
             self.world.take_back(zone)
         super().calm_down()
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_nothing_starts_late_in_an_evacuated_zone_under_random_faults(
+def test_no_run_starts_late_in_an_evacuated_zone_under_random_faults(
     seed: int,
 ) -> None:
     explore(EvacuationExplorer(seed))
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_nothing_starts_late_in_an_evacuated_zone_of_a_wide_fleet(seed: int) -> None:
+def test_no_run_starts_late_in_an_evacuated_zone_of_a_large_fleet(seed: int) -> None:
     explore(EvacuationExplorer(seed, size=WIDE))
 
 
-def test_exploration_empties_zones_and_takes_them_back() -> None:
-    heard = []
+def test_exploration_evacuates_zones_and_takes_them_back() -> None:
+    fields_seen = []
     for seed in SEEDS[:10]:
         explorer = EvacuationExplorer(seed)
         explore(explorer)
         notes = [note for _, name, note in explorer.world.notes if "agent" in name]
-        heard += [note.fields for note in notes if note.event == "evacuation"]
-    assert sum(bool(fields["evacuated"]) for fields in heard) >= 2 * 10
-    assert sum(not fields["evacuated"] for fields in heard) >= 2 * 10
+        fields_seen += [note.fields for note in notes if note.event == "evacuation"]
+    assert sum(bool(fields["evacuated"]) for fields in fields_seen) >= 2 * 10
+    assert sum(not fields["evacuated"] for fields in fields_seen) >= 2 * 10
--- a/tests/core/runs/test_failures.py
+++ b/tests/core/runs/test_failures.py
@@ -13,7 +13,7 @@
 from tests.lib.runs_world import QUEUE, RunsWorld, make_job
 
 
-def list_agents_running(world: RunsWorld, job: str) -> list[str]:
+def find_agents(world: RunsWorld, job: str) -> list[str]:
     """List the agents whose endpoints run a task of a job."""
     return [
         name
@@ -92,7 +92,7 @@
     world.run(0.2)
     world.darken("entry-0")
     world.run(1.3)
-    assert not list_agents_running(world, "j1")
+    assert not find_agents(world, "j1")
     world.submit("entry-1", make_job("j1", width=4, seconds=3.0))
     world.run(8.0)
     assert world.get_ends("j1") == ["completed"]
@@ -178,7 +178,7 @@
     world = make_world(agents=2)
     world.submit("entry-0", make_job("j1", width=12, seconds=1.0))
     world.run(0.2)
-    world.crash_endpoint(list_agents_running(world, "j1")[0])
+    world.crash_endpoint(find_agents(world, "j1")[0])
     world.run(5.0)
     assert world.get_ends("j1") == ["completed"]
 
@@ -359,7 +359,7 @@
     world.run(0.2)
     world.hang_up("entry-0", caller)
     world.run(0.2)
-    assert not list_agents_running(world, "j1")
+    assert not find_agents(world, "j1")
 
 
 def test_job_refused_as_not_run_never_starts() -> None:
@@ -513,7 +513,7 @@
     job = make_job("j1", width=12, seconds=3.0)
     world.submit("entry-0", job)
     world.run(0.3)
-    assert list_agents_running(world, "j1") == ["agent-0", "agent-1"]
+    assert find_agents(world, "j1") == ["agent-0", "agent-1"]
     world.kill("agent-0")
     world.run(0.1)
     world.kill("entry-0")
--- a/tests/core/runs/test_status_updates.py
+++ b/tests/core/runs/test_status_updates.py
@@ -1,4 +1,4 @@
-"""How often entries are told of an endpoint's room."""
+"""Tests how often entries are sent updates about an endpoint's free capacity."""
 
 from godwitbank._internal.core.runs.links import Link
 from godwitbank._internal.core.runs.status_updates import (
@@ -12,128 +12,129 @@
 NOW = 100.0
 NEWS = EndpointNews("i-1", "desk", 16000, 65536, 0, [], True, True, False)
 ENTRIES = 10
-USUAL_CPU = 1600.0
+TYPICAL_CPU = 1600.0
 
 
 def make_link(stream: int = 1) -> Link:
-    """Make an entry's stream."""
+    """Make the link to an entry."""
     hello = Hello(1, Role.ENTRY, "entry-0", "entry-0#1", "entry-0:1", "zone-1")
     return Link(stream, hello, "", NOW)
 
 
 def make_links(count: int) -> list[Link]:
-    """Make the streams of some entries."""
+    """Make the links to several entries."""
     return [make_link(stream) for stream in range(1, count + 1)]
 
 
 def make_room(cpu: int, seen: int = 0) -> Room:
-    """Make what an entry is told of room."""
+    """Make an update about free capacity."""
     return Room(cpu, 65536, 0, 0, seen)
 
 
 def list_due(
-    bulletins: StatusUpdates,
+    updates: StatusUpdates,
     room: Room,
     now: float,
     news: EndpointNews = NEWS,
-    at_once: bool = False,
+    immediate: bool = False,
 ) -> list:
-    """List what the one entry is told at some moment."""
-    bulletins.begin_round(make_links(ENTRIES), USUAL_CPU, now)
-    return bulletins.list_due(make_link(), news, room, at_once)
+    """List the messages that are due for the first entry at a given time."""
+    updates.begin_round(make_links(ENTRIES), TYPICAL_CPU, now)
+    return updates.list_due(make_link(), news, room, immediate)
 
 
-def make_told(room: Room) -> StatusUpdates:
-    """Make bulletins whose entry was told some room at first."""
-    bulletins = StatusUpdates()
-    assert list_due(bulletins, room, NOW) == [NEWS, room]
-    return bulletins
+def make_updates(room: Room) -> StatusUpdates:
+    """Make status updates whose first entry was sent an initial update."""
+    updates = StatusUpdates()
+    assert list_due(updates, room, NOW) == [NEWS, room]
+    return updates
 
 
-def test_an_entry_hears_with_the_end_of_its_run_what_room_there_is() -> None:
-    bulletins = make_told(make_room(16000))
+def test_entry_is_sent_the_free_capacity_with_the_end_of_its_run() -> None:
+    updates = make_updates(make_room(16000))
     room = make_room(14400, seen=1)
-    assert list_due(bulletins, room, NOW + 0.001, at_once=True) == [room]
+    assert list_due(updates, room, NOW + 0.001, immediate=True) == [room]
 
 
-def test_an_entry_that_only_sent_a_start_counts_it_in_by_itself() -> None:
-    # Symptom: agents and entries spend their time on news about room. Cause: each
-    # start was answered by what room was left, which its sender had counted before.
-    bulletins = make_told(make_room(16000))
-    assert list_due(bulletins, make_room(14400, seen=1), NOW + 0.001) == []
+def test_entry_that_only_ordered_a_start_gets_no_update() -> None:
+    # Guards against agents and entries that spend their time on updates because each
+    # start order is answered with the free capacity that is left. The entry has
+    # subtracted its own order already.
+    updates = make_updates(make_room(16000))
+    assert list_due(updates, make_room(14400, seen=1), NOW + 0.001) == []
 
 
-def test_other_changes_wait_and_are_told_together() -> None:
-    bulletins = make_told(make_room(16000))
-    pause = UPDATE_INTERVAL_SECONDS * ENTRIES
-    assert list_due(bulletins, make_room(9000), NOW + 0.001) == []
-    assert bulletins.next_wakeup() == NOW + pause
+def test_other_changes_are_postponed_and_sent_together() -> None:
+    updates = make_updates(make_room(16000))
+    interval = UPDATE_INTERVAL_SECONDS * ENTRIES
+    assert list_due(updates, make_room(9000), NOW + 0.001) == []
+    assert updates.next_wakeup() == NOW + interval
     last = make_room(8000)
-    assert list_due(bulletins, last, NOW + pause) == [last]
-    assert bulletins.next_wakeup() > NOW + pause
+    assert list_due(updates, last, NOW + interval) == [last]
+    assert updates.next_wakeup() > NOW + interval
 
 
 def test_one_timer_serves_all_entries() -> None:
-    # Symptom: an agent uses twice the processor time. Cause: the pause ran for each
-    # entry by itself, so that ten of them woke the agent ten times as often.
-    bulletins = make_told(make_room(16000))
-    assert list_due(bulletins, make_room(9000), NOW + 0.01, at_once=True)
-    assert list_due(bulletins, make_room(8000), NOW + 0.011) == []
-    assert bulletins.next_wakeup() == NOW + UPDATE_INTERVAL_SECONDS * ENTRIES
+    # Guards against an agent that uses twice the processor time: with an interval per
+    # entry, ten entries wake the agent ten times as often.
+    updates = make_updates(make_room(16000))
+    assert list_due(updates, make_room(9000), NOW + 0.01, immediate=True)
+    assert list_due(updates, make_room(8000), NOW + 0.011) == []
+    assert updates.next_wakeup() == NOW + UPDATE_INTERVAL_SECONDS * ENTRIES
 
 
-def test_news_of_the_endpoint_never_wait() -> None:
-    bulletins = make_told(make_room(16000))
+def test_changes_of_the_endpoint_are_sent_immediately() -> None:
+    updates = make_updates(make_room(16000))
     closed = NEWS._replace(open=False)
-    assert list_due(bulletins, make_room(9000), NOW + 0.001, closed) == [closed]
+    assert list_due(updates, make_room(9000), NOW + 0.001, closed) == [closed]
 
 
-def test_a_new_stream_is_told_everything() -> None:
-    bulletins = make_told(make_room(16000))
-    bulletins.remove_stream(1)
+def test_new_stream_is_sent_everything() -> None:
+    updates = make_updates(make_room(16000))
+    updates.remove_stream(1)
     room = make_room(16000)
-    assert list_due(bulletins, room, NOW + 0.001) == [NEWS, room]
+    assert list_due(updates, room, NOW + 0.001) == [NEWS, room]
 
 
-def test_few_entries_are_told_at_once() -> None:
-    bulletins = StatusUpdates()
+def test_few_entries_are_updated_immediately() -> None:
+    updates = StatusUpdates()
     for cpu in (16000, 9000):
-        bulletins.begin_round(make_links(4), USUAL_CPU, NOW)
-        due = bulletins.list_due(make_link(), NEWS, make_room(cpu), False)
+        updates.begin_round(make_links(4), TYPICAL_CPU, NOW)
+        due = updates.list_due(make_link(), NEWS, make_room(cpu), False)
         assert due[-1].cpu == cpu
 
 
-def tell_all(bulletins: StatusUpdates, room: Room, now: float) -> list[int]:
-    """Tell all entries what is due; return the streams that were told of room."""
-    told = []
-    for link in bulletins.begin_round(make_links(ENTRIES), USUAL_CPU, now):
-        if room in bulletins.list_due(link, NEWS, room, False):
-            told.append(link.stream)
-    return told
+def update_all(updates: StatusUpdates, room: Room, now: float) -> list[int]:
+    """Send all due updates; return the streams that were sent the free capacity."""
+    updated = []
+    for link in updates.begin_round(make_links(ENTRIES), TYPICAL_CPU, now):
+        if room in updates.list_due(link, NEWS, room, False):
+            updated.append(link.stream)
+    return updated
 
 
-def test_all_are_told_at_once_that_there_is_no_room_left() -> None:
-    bulletins = StatusUpdates()
-    tell_all(bulletins, make_room(16000), NOW)
-    assert not tell_all(bulletins, make_room(3000), NOW + 0.001)
-    assert len(tell_all(bulletins, make_room(1500), NOW + 0.002)) == ENTRIES
+def test_all_entries_are_told_immediately_that_capacity_is_used_up() -> None:
+    updates = StatusUpdates()
+    update_all(updates, make_room(16000), NOW)
+    assert not update_all(updates, make_room(3000), NOW + 0.001)
+    assert len(update_all(updates, make_room(1500), NOW + 0.002)) == ENTRIES
 
 
-def test_few_at_a_time_are_told_at_once_that_there_is_room_again() -> None:
-    bulletins = StatusUpdates()
-    tell_all(bulletins, make_room(0), NOW)
-    heard: list[int] = []
+def test_few_entries_at_a_time_are_told_that_capacity_is_free_again() -> None:
+    updates = StatusUpdates()
+    update_all(updates, make_room(0), NOW)
+    updated_streams: list[int] = []
     for step in range(1, ENTRIES // MAX_IMMEDIATE_UPDATES + 1):
-        told = tell_all(bulletins, make_room(1600), NOW + step / 1000)
-        assert len(told) == MAX_IMMEDIATE_UPDATES
-        heard += told
-    assert sorted(heard) == list(range(1, ENTRIES + 1))
-
-
-def test_whoever_was_told_longest_ago_is_told_first_of_room() -> None:
-    bulletins = StatusUpdates()
-    tell_all(bulletins, make_room(0), NOW)
-    first = tell_all(bulletins, make_room(1600), NOW + 0.001)
-    tell_all(bulletins, make_room(0), NOW + 0.002)
-    second = tell_all(bulletins, make_room(1600), NOW + 0.003)
+        updated = update_all(updates, make_room(1600), NOW + step / 1000)
+        assert len(updated) == MAX_IMMEDIATE_UPDATES
+        updated_streams += updated
+    assert sorted(updated_streams) == list(range(1, ENTRIES + 1))
+
+
+def test_least_recently_updated_entry_is_told_first_of_free_capacity() -> None:
+    updates = StatusUpdates()
+    update_all(updates, make_room(0), NOW)
+    first = update_all(updates, make_room(1600), NOW + 0.001)
+    update_all(updates, make_room(0), NOW + 0.002)
+    second = update_all(updates, make_room(1600), NOW + 0.003)
     assert not set(first) & set(second)
