--- a/src/godwitbank/_internal/core/runs/status_updates.py
+++ b/src/godwitbank/_internal/core/runs/status_updates.py
@@ -118,7 +118,7 @@
         return due
 
     def _affects_decisions(self, last: Room | None, room: Room) -> bool:
-        """Return whether a postponed update would change the decisions of an entry."""
+        """Return whether an update changes what an entry decides and is sent now."""
         did_fit = last is not None and last.cpu >= self._typical_cpu
         fits = room.cpu >= self._typical_cpu
         if did_fit == fits:
--- a/tests/core/runs/test_deployment.py
+++ b/tests/core/runs/test_deployment.py
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize("longest", [0.4, 1.0, 2.0])
-def test_lease_length_is_limited(longest: float) -> None:
+def test_lease_is_limited_by_endpoints_and_by_the_longest_lease(longest: float) -> None:
     clock = EndpointClock(Deployment(max_lease_seconds=longest).granted_lease_seconds)
     clock.update(1000, NOW)
     until = clock.grant(NOW, NOW + 10.0)
--- a/tests/core/runs/test_failures.py
+++ b/tests/core/runs/test_failures.py
@@ -259,7 +259,7 @@
     world.processes["agent-0"].give(Reported(foreign))
     assert world.processes["agent-0"].core.endpoint.service == QUEUE.service
     world.run(2.0)
-    # Nor may its sequence number make the endpoint's own later reports look outdated.
+    # Nor may its sequence number make the endpoint's later reports seem outdated.
     endpoint.draining = True
     world.run(2.0)
     assert not world.processes["agent-0"].core.open
