--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -189,17 +189,17 @@
     Break(
         "unanswered orders give up their room",
         f"{LEASED}/runner.py",
-        "        held.state = RunState.UNCONFIRMED\n",
-        "        held.state = RunState.UNCONFIRMED\n"
-        "        self._settle(held, RunEnd.NOT_STARTED)\n        return\n",
-        f"{RUNS}/test_failures.py::test_room_of_an_unanswered_order_stays_taken",
+        "        run.state = RunState.UNCONFIRMED\n",
+        "        run.state = RunState.UNCONFIRMED\n"
+        "        self._end_run(run, RunEnd.NOT_STARTED)\n        return\n",
+        f"{RUNS}/test_failures.py::test_unanswered_order_keeps_its_capacity_in_use",
     ),
     Break(
         "an older renewal voids an unanswered order",
         f"{LEASED}/runner.py",
-        "            return token > held.token\n",
+        "            return token > run.token\n",
         "            return True\n",
-        f"{RUNS}/test_failures.py::test_a_doubtful_order_counts_until_a_higher_token_is_known",
+        f"{RUNS}/test_failures.py::test_unconfirmed_order_counts_until_the_endpoint_knows_a_higher_token",
     ),
     Break(
         "restarted agent serves at once",
@@ -207,7 +207,7 @@
         "            self.reconciled\n            and self.reporting\n",
         "            self.reporting\n",
         f"{RUNS}/test_failures.py::"
-        "test_a_restarted_agent_stops_what_its_predecessor_started",
+        "test_restarted_agent_stops_runs_of_the_previous_process",
     ),
     Break(
         "runs of a lost entry go on",
@@ -215,7 +215,7 @@
         "            self.runner.stop_runs_of(link.hello.incarnation)",
         "            pass",
         f"{RUNS}/test_failures.py::"
-        "test_runs_of_a_dead_entry_are_stopped_before_the_caller_comes_again",
+        "test_runs_of_a_dead_entry_are_stopped_before_the_caller_retries",
     ),
     Break(
         "old frames are acted on",
@@ -335,7 +335,7 @@
         "            task.lapses_at = self._now + LAPSE_SECONDS",
         "            task.lapses_at = self._now",
         f"{RUNS}/test_failures.py::"
-        "test_an_agent_cut_off_alone_loses_its_runs_and_they_go_elsewhere",
+        "test_runs_of_an_agent_cut_off_from_its_entry_are_placed_elsewhere",
     ),
     Break(
         "nobody is told what was taken",
@@ -360,16 +360,16 @@
         "        return bool(self._lost)",
         "        return False",
         f"{RUNS}/test_failures.py::"
-        "test_a_job_taken_by_an_entry_that_is_cut_off_is_claimed_at_the_agents",
+        "test_job_of_an_entry_that_is_cut_off_is_claimed_at_the_agents",
     ),
     Break(
         "an endpoint without an answer keeps its lease",
         f"{LEASED}/endpoint.py",
-        "        grants = not self._inherits"
-        " and self._unanswered < MAX_UNANSWERED_RENEWALS",
-        "        grants = not self._inherits",
+        "            not self._may_have_unknown_runs\n"
+        "            and self._unanswered < MAX_UNANSWERED_RENEWALS\n",
+        "            not self._may_have_unknown_runs\n",
         f"{RUNS}/test_failures.py::"
-        "test_runs_of_a_silent_endpoint_go_elsewhere_after_its_lease",
+        "test_runs_of_an_unreachable_endpoint_are_placed_elsewhere_after_its_lease",
     ),
     Break(
         "draining endpoints get what waits",
@@ -377,7 +377,7 @@
         "        return bool(self.instance) and ready and not self.draining",
         "        return bool(self.instance) and ready",
         f"{RUNS}/test_failures.py::"
-        "test_a_draining_endpoint_gets_nothing_new_and_finishes",
+        "test_draining_endpoint_gets_no_new_runs_and_finishes_its_own",
     ),
     Break(
         "older configurations are installed",
@@ -400,15 +400,14 @@
         "        if now < self.ejected_until:\n            return False\n"
         "        return not self.probing",
         "        return True\n        return not self.probing",
-        f"{RUNS}/test_failures.py::test_an_endpoint_that_fails_everything_is_avoided",
+        f"{RUNS}/test_failures.py::test_endpoint_that_fails_every_task_is_avoided",
     ),
     Break(
         "one hopeless job ejects endpoints",
         f"{LEASED}/health.py",
         "EJECTION_FAILURE_SHARE = 0.6",
         "EJECTION_FAILURE_SHARE = 0.2",
-        f"{RUNS}/test_failures.py::"
-        "test_a_job_that_can_never_be_done_fails_and_ejects_nobody",
+        f"{RUNS}/test_failures.py::test_job_that_always_fails_ejects_no_endpoint",
     ),
     Break(
         "takings of lost entries are not passed on",
@@ -417,15 +416,15 @@
         "            link.stream, self._ownership, self._now\n        )\n",
         "",
         f"{RUNS}/test_failures.py::"
-        "test_an_entry_killed_and_back_at_once_knows_what_it_had_taken",
+        "test_entry_that_restarts_immediately_knows_its_earlier_jobs",
     ),
     Break(
         "a run waits for room that is gone",
         f"{LEASED}/runner.py",
-        "if not order.parks and not self._has_room(held):",
+        "if not order.parks and not self._has_free_capacity(run):",
         "if False:",
         f"{RUNS}/test_failures.py::"
-        "test_two_entries_that_choose_the_same_room_find_other_room_at_once",
+        "test_two_entries_that_choose_one_endpoint_both_start_immediately",
     ),
     Break(
         "slow runs stay where they are",
@@ -433,7 +432,7 @@
         "        if task.moves >= MAX_MOVES or",
         "        if True or",
         f"{RUNS}/test_failures.py::"
-        "test_runs_of_an_endpoint_that_became_slow_go_where_there_is_room",
+        "test_runs_of_an_endpoint_that_became_slow_move_to_free_capacity",
     ),
     Break(
         "late work keeps its place",
@@ -504,14 +503,14 @@
         "return zone in self._newest.zones",
         "return False",
         f"{RUNS}/test_evacuation.py::"
-        "test_an_agent_refuses_orders_of_an_entry_that_knows_less",
+        "test_agent_refuses_orders_of_an_entry_with_outdated_state",
     ),
     Break(
         "an older evacuation undoes a newer",
         f"{LEASED}/evacuations.py",
-        "if told.revision <= self._newest.revision:",
+        "if evacuation.revision <= self._newest.revision:",
         "if False:",
-        f"{RUNS}/test_evacuation.py::test_older_knowledge_never_undoes_newer",
+        f"{RUNS}/test_evacuation.py::test_older_evacuation_never_replaces_a_newer_one",
     ),
     Break(
         "entries place in evacuated zones, and agents take it",
@@ -519,15 +518,15 @@
         "        self.evacuated = evacuated\n",
         "",
         f"{RUNS}/test_evacuation.py::"
-        "test_an_agent_refuses_orders_of_an_entry_that_knows_less",
+        "test_agent_refuses_orders_of_an_entry_with_outdated_state",
     ),
     Break(
         "nobody hears of evacuated zones",
         f"{LEASED}/evacuations.py",
-        "        self._newest = told\n",
+        "        self._newest = evacuation\n",
         "",
         f"{RUNS}/test_evacuation_exploration.py::"
-        "test_nothing_starts_late_in_an_evacuated_zone_under_random_faults",
+        "test_no_run_starts_late_in_an_evacuated_zone_under_random_faults",
     ),
     Break(
         "new streams are not told what is evacuated",
@@ -536,12 +535,12 @@
         "        self._send_evacuation(event.stream)\n",
         "",
         f"{RUNS}/test_evacuation.py::"
-        "test_entries_and_agents_that_start_meanwhile_know_before_the_first_order",
+        "test_new_entries_and_agents_know_an_evacuation_before_the_first_order",
     ),
     Break(
         "looks at the store wait for as long as they may",
         f"{LEASED}/poll_limits.py",
-        "            unseen * WAIT_SHARE,\n",
+        "            change_timeout * WAIT_SHARE,\n",
         "            20.0,\n",
         "tests/platform/test_watch.py",
     ),
