--- a/src/godwitbank/_internal/core/runs/agent.py
+++ b/src/godwitbank/_internal/core/runs/agent.py
@@ -378,7 +378,8 @@
         due_links = self.links.list_due_heartbeats(self._now)
         for link in self.links:
             changed = (
-                abs(heartbeat.slowness - link.announced_slowness) >= SLOWNESS_UPDATE_STEP
+                abs(heartbeat.slowness - link.announced_slowness)
+                >= SLOWNESS_UPDATE_STEP
             )
             changed = (
                 changed
