--- a/src/godwitbank/_internal/core/runs/events.py
+++ b/src/godwitbank/_internal/core/runs/events.py
@@ -1,6 +1,7 @@
-"""Events and actions of the cores that deal with leased runs.
+"""Input events and output actions of the entry and agent cores for leased runs.
 
-Streams, ticks and sending are shared with the other cores; see
+The I/O layer passes events to a core and performs the actions that the core returns.
+Events and actions for streams and timers are shared with the other cores; see
 ``godwitbank._internal.core.events``.
 """
 
@@ -19,9 +20,9 @@
 
 
 class JobSubmitted(NamedTuple):
-    """A caller handed over a job.
+    """A caller submitted a job.
 
-    :param caller: the shell's number of the request.
+    :param caller: number that the I/O layer assigned to the request.
     :param timeout_seconds: seconds the caller waits for the result.
     """
 
@@ -31,65 +32,71 @@
 
 
 class CallerDisconnected(NamedTuple):
-    """A caller hung up before its result."""
+    """A caller closed its connection before it got the result."""
 
     caller: int
 
 
 class JobCancelled(NamedTuple):
-    """A caller asked for a job to be cancelled."""
+    """A caller requested the cancellation of a job."""
 
     job: str
 
 
 class ConfigurationRead(NamedTuple):
-    """A configuration was read from the store."""
+    """The I/O layer read a configuration from the store."""
 
     configuration: Configuration
 
 
 class EvacuationRead(NamedTuple):
-    """Which availability zones are evacuated was read from the store."""
+    """The I/O layer read the set of evacuated availability zones from the store."""
 
     evacuation: Evacuation
 
 
 class AddressesRead(NamedTuple):
-    """Stream addresses of entries were read from the store or the settings."""
+    """The I/O layer read stream addresses of entries from the store or the settings."""
 
     addresses: tuple[str, ...]
 
 
 class LagMeasured(NamedTuple):
-    """The event loop of this process was late, by some seconds."""
+    """The I/O layer measured the lag of the event loop.
+
+    :param seconds: how late the loop ran a scheduled callback.
+    """
 
     seconds: float
 
 
 class ReportReceived(NamedTuple):
-    """The endpoint reported about itself."""
+    """The endpoint sent a report about its state."""
 
     report: EndpointReport
 
 
 class StoredReportRead(NamedTuple):
-    """The endpoint's last report, as kept in the store by a former agent."""
+    """The endpoint's last report was read back from the store.
+
+    The agent's previous process stored it there.
+    """
 
     report: EndpointReport
 
 
 class EndpointExiting(NamedTuple):
-    """The endpoint said that it ends now."""
+    """The endpoint announced that its process exits now."""
 
     instance: str
 
 
 class StartAnswered(NamedTuple):
-    """An endpoint's answer to an order to start, or that there was none.
+    """An endpoint answered an order to start a run, or the call failed.
 
     :param verdict: a ``StartVerdict``.
-    :param token: fencing token the order carried.
-    :param clock: the endpoint's clock in milliseconds, or ``None``.
+    :param token: fencing token of the order.
+    :param clock: the endpoint's clock in milliseconds; ``None`` if it is unknown.
     """
 
     task: str
@@ -100,9 +107,12 @@
 
 
 class RenewalAnswered(NamedTuple):
-    """An endpoint's answer to a lease renewal.
+    """An endpoint accepted a lease renewal and listed its runs.
 
-    :param renewal: number of the ``RenewLease`` it answers.
+    :param renewal: number of the ``RenewLease`` that this answers.
+    :param running: runs that have not ended.
+    :param ended: runs that have ended.
+    :param clock: the endpoint's clock in milliseconds.
     """
 
     renewal: int
@@ -113,10 +123,10 @@
 
 
 class RenewalFailed(NamedTuple):
-    """A lease renewal was refused or not answered.
+    """An endpoint refused a lease renewal, or the call failed.
 
-    :param verdict: a ``HoldVerdict``.
-    :param clock: the endpoint's clock in milliseconds, or ``None``.
+    :param verdict: a ``RenewalVerdict``.
+    :param clock: the endpoint's clock in milliseconds; ``None`` if it is unknown.
     """
 
     renewal: int
@@ -125,9 +135,9 @@
 
 
 class OrderStart(NamedTuple):
-    """Order the endpoint to start a run.
+    """Orders the endpoint to start a run.
 
-    :param lease_until: end of the lease in milliseconds of the endpoint's clock.
+    :param lease_until: end of the lease, in milliseconds of the endpoint's clock.
     :param token: fencing token.
     :param timeout_seconds: seconds to wait for the answer.
     """
@@ -143,7 +153,7 @@
 
 
 class OrderStop(NamedTuple):
-    """Order the endpoint to stop a run."""
+    """Orders the endpoint to stop a run."""
 
     instance: str
     task: str
@@ -152,12 +162,15 @@
 
 
 class RenewLease(NamedTuple):
-    """Renew the lease of all that runs, and learn what runs and what ended.
+    """Renews the lease of all runs of the endpoint and requests their state.
+
+    The endpoint's answer lists the runs in progress and those that have ended.
 
-    :param lease_until: as in ``OrderStart``; ``None`` renews nothing.
-    :param seen: number of the last end that was dealt with.
-    :param wait: milliseconds the endpoint may wait for an end.
-    :param timeout_seconds: seconds to wait for the answer beyond that.
+    :param lease_until: as in ``OrderStart``; ``None`` renews no lease.
+    :param seen: number of the last ended run that the agent has processed.
+    :param wait: milliseconds for which the endpoint may delay its answer until a run
+        ends (long poll).
+    :param timeout_seconds: seconds to wait for the answer, in addition to ``wait``.
     """
 
     renewal: int
@@ -170,22 +183,22 @@
 
 
 class StoreReport(NamedTuple):
-    """Keep a report in the store, for an agent that is started anew."""
+    """Stores the endpoint's report, so that a restarted agent can read it back."""
 
     report: EndpointReport
 
 
 class AnswerCaller(NamedTuple):
-    """Tell a caller the result of its job."""
+    """Answers a caller with the result of its job."""
 
     caller: int
     result: JobResult
 
 
 class LogDecision(NamedTuple):
-    """Write one decision to the log.
+    """Writes one decision to the decision log.
 
-    :param request: the job or task it is about, or an empty string.
+    :param request: the job or task concerned; empty if there is none.
     """
 
     event: str
@@ -194,7 +207,7 @@
 
 
 class ShutdownComplete(NamedTuple):
-    """Nothing is left to do; a stopping process may exit."""
+    """Tells the I/O layer that no work is left; a stopping process may exit."""
 
 
 RunAction = (
--- a/src/godwitbank/_internal/core/runs/links.py
+++ b/src/godwitbank/_internal/core/runs/links.py
@@ -1,8 +1,9 @@
-"""Open streams to other processes: who is alive, and who fell silent.
+"""Open streams of a process: heartbeats, timeouts and probes.
 
-Proof of life is sent where somebody's runs depend on it. A stream on which nothing is
-in flight is proved rarely: it costs frames and wake-ups at both ends, however many
-there are, and nobody is harmed if its other end is missed some seconds later.
+Heartbeats are frequent only on busy streams, those with runs in flight, where a dead
+process must be detected quickly. Idle streams get few heartbeats: each one costs a
+frame and wake-ups at both ends, on every stream, and it does no harm if the loss of an
+idle process is detected some seconds later.
 """
 
 import math
@@ -14,78 +15,118 @@
 from godwitbank._internal.models.run_messages import Alive, StartRun
 
 BUSY_HEARTBEAT_SECONDS = 0.2
-"""Seconds between proofs of life on a busy stream; three fit into ``SILENCE``."""
+"""Seconds between heartbeats on a busy stream.
+
+Three of them fit into ``BUSY_TIMEOUT_SECONDS``.
+"""
 
 BUSY_TIMEOUT_SECONDS = 0.7
 """Seconds without a frame after which a busy stream counts as dead.
 
-Jobs whose home is lost wait for as long as that takes, and a job of a lost entry starts
-anew only after its runs were stopped.
+Jobs whose home entry is lost wait for this time. A job of a lost entry starts again
+only after its runs have been stopped.
 """
 
 OVERDUE_SECONDS = 0.4
-"""Seconds without a frame after which a busy stream gets nothing new: its other end is
-slow or gone. What is sent to an agent that is gone is late by the time until its runs
-count as lost, and would be sent until the stream counts as dead otherwise."""
+"""Seconds without a frame after which nothing new is sent on a busy stream.
+
+Its other end is slow or gone. A run sent to an agent that is gone is delayed until the
+agent's runs count as lost; without this limit, runs would be sent to it until the
+stream times out.
+"""
 
 IDLE_HEARTBEAT_SECONDS = 1.5
-"""Seconds between proofs of life on a stream with nothing in flight."""
+"""Seconds between heartbeats on an idle stream, one without runs in flight."""
 
 IDLE_TIMEOUT_SECONDS = 5.0
-"""Seconds without a frame after which such a stream counts as dead; three proofs of
-life fit in. Until then work may be sent on it, which the silence of a busy stream ends:
-the work is as late as on a stream that died right after it was sent."""
+"""Seconds without a frame after which an idle stream counts as dead.
+
+Three heartbeats fit into it. Until then work may be sent on a dead idle stream. That
+makes the stream busy, so it then ends after ``BUSY_TIMEOUT_SECONDS``: the work is
+delayed as much as on a stream that dies right after the work was sent.
+"""
 
 BUSY_CHECK_SECONDS = 0.1
-"""Seconds between looks for streams to prove; half of ``PULSE``, so that none is proved
-later than 0.3 s after its last frame."""
+"""Seconds between checks for due heartbeats while any stream is busy.
+
+Half of ``BUSY_HEARTBEAT_SECONDS``, so that a heartbeat is sent no later than 0.3 s
+after the last frame on the stream.
+"""
 
 IDLE_CHECK_SECONDS = 0.35
-"""The same while nothing is in flight; half of ``SILENCE``, so that a process knows
-whether it stood still for that long."""
+"""Seconds between checks for due heartbeats while all streams are idle.
+
+Half of ``BUSY_TIMEOUT_SECONDS``, so that a process can tell whether it was paused for
+that long.
+"""
 
 PEER_HEARTBEAT_SPACING_SECONDS = 0.012
-"""Seconds between proofs of life to two other entries: what an entry spends on them is
-the same however many there are, but for few, which hear every ``PULSE``."""
+"""Seconds of an entry's heartbeat interval for each other entry.
+
+The interval grows with the number of entries, so that the cost of heartbeats to them
+stays the same. Only where there are few entries, the interval is
+``BUSY_HEARTBEAT_SECONDS`` and the cost is lower.
+"""
 
 MAX_PEER_HEARTBEAT_SECONDS = 0.4
-"""The longest pulse to other entries. With it goes what was taken from callers, which
-must be known before the home of those jobs counts as lost."""
+"""Longest interval between heartbeats to other entries, in seconds.
+
+Along with the heartbeat an entry announces the jobs that it has accepted. Other entries
+must know of these before the home entry of the jobs counts as lost.
+"""
 
 RESPONSIVE_HEARTBEATS = 1.5
-"""Pulses between entries within which one that lives is heard."""
+"""Number of heartbeat intervals within which a frame arrives from a live entry."""
 
 PEER_TIMEOUT_FACTOR = 3.0
-"""Multiple of the pulse between entries without a frame that ends a stream, as
-``SILENCE`` is of ``PULSE``."""
+"""Heartbeat intervals without a frame after which a stream between entries is dead.
+
+About the ratio of ``BUSY_TIMEOUT_SECONDS`` to ``BUSY_HEARTBEAT_SECONDS``.
+"""
 
 MISSED_HEARTBEAT_SECONDS = 0.3
-"""Seconds without a frame that a busy stream has only if its other end is late or gone:
-a pulse and a look."""
+"""Seconds without a frame that show that a busy stream's other end is late or gone.
+
+The sum of a heartbeat interval and a check interval.
+"""
 
 PROBE_TIMEOUT_SECONDS = 0.4
-"""Seconds without a frame after a probe that end a stream; its other end answers at
-once. Nothing is in flight on it, so little is lost where that was too soon."""
+"""Seconds without a frame after a probe, after which a stream counts as dead.
+
+The other end answers a probe at once. The stream is idle, so that little is lost if
+this timeout was too short.
+"""
 
 CLOCK_WINDOW_SECONDS = 10.0
-"""Seconds after which an estimate of another process's clock is replaced even by a
-worse one: clocks drift by less than a millisecond in it."""
+"""Seconds after which a clock estimate is replaced even by a less accurate one.
+
+Clocks drift apart by less than a millisecond in this time.
+"""
 
 
 class Link:
     """An open stream to another process.
 
-    :ivar busy_since: when the first of the runs in flight was sent on it; infinite
-        while there is none.
-    :ivar proved_at: this end's clock when its other end is known to have lived: frames
-        may have been held up. Infinite where nothing depends on it.
-    :ivar probed_at: when its other end was asked for a proof of life that hasn't come
-        yet; infinite if it wasn't.
-    :ivar received: orders to start received on it.
-    :ivar told_slowness: what its other end was told last of this end's endpoint.
-    :ivar told_lag: how late its other end was told that this end is, in seconds.
-    :ivar lag: how late its other end last told to be, in seconds; infinite until then.
-    :ivar leaving: its other end is about to end, or to be left.
+    Times are in seconds of this process's clock.
+
+    :ivar dialled: address by which this process opened the stream; empty if the other
+        end opened it.
+    :ivar last_received_at: when the last frame arrived.
+    :ivar last_alive_at: when the other process is known to have been alive. This may be
+        earlier than the arrival of its last frame, which may have been delayed.
+        Infinite at entries, which don't track it.
+    :ivar sent_at: when the last frame that shows liveness was sent.
+    :ivar busy_since: when the first of the runs in flight was sent; infinite while
+        there is none.
+    :ivar probed_at: when a probe was sent that is not answered yet; infinite if none
+        is pending.
+    :ivar received: number of start orders received.
+    :ivar announced_slowness: slowness of this process's endpoint, as last sent.
+    :ivar announced_lag: this process's event loop lag in seconds, as last sent.
+    :ivar lag: the other process's event loop lag in seconds, as last received; infinite
+        until then.
+    :ivar leaving: whether the other process is about to exit, or this one is about to
+        close the stream.
     """
 
     __slots__ = (
@@ -102,8 +143,8 @@
         "announced_slowness",
         "announced_lag",
         "lag",
-        "_lead",
-        "_lead_at",
+        "_clock_offset",
+        "_clock_offset_at",
     )
 
     def __init__(self, stream: int, hello: Hello, dialled: str, now: float) -> None:
@@ -120,51 +161,63 @@
         self.announced_slowness = 1.0
         self.announced_lag = 0.0
         self.lag = math.inf
-        self._lead = -math.inf
-        self._lead_at = now
+        self._clock_offset = -math.inf
+        self._clock_offset_at = now
 
     def mark_idle(self, now: float) -> bool:
-        """Note that nothing is in flight any more.
+        """Mark the stream as idle, as no run is in flight on it any more.
 
-        :return: whether its other end had fallen silent before.
+        :return: whether the other end was already overdue.
         """
-        missed = (
+        was_unresponsive = (
             self.busy_since < math.inf
             and now - self.last_received_at > MISSED_HEARTBEAT_SECONDS
         )
         self.busy_since = math.inf
-        return missed
+        return was_unresponsive
 
     @property
     def is_probe_pending(self) -> bool:
-        """Whether its other end was probed and has not been heard since."""
+        """Whether a probe was sent and no frame has arrived since."""
         return self.probed_at < math.inf
 
     def is_overdue(self, now: float) -> bool:
-        """Tell whether a frame should have come by now, though it isn't dead yet."""
+        """Return whether a frame is overdue on a stream that has not timed out."""
         return (
             self.is_probe_pending
             or now - max(self.last_received_at, self.busy_since) > OVERDUE_SECONDS
         )
 
     def update_clock(self, clock: float, now: float) -> None:
-        """Note the other process's clock, told in a message.
+        """Update the estimate of the other process's clock from a message.
 
-        The message took some time, so its clock is later than told. The least delayed
-        message tells it best.
+        The clock has advanced by the message's transit time since it was read. The
+        message with the shortest transit time gives the most accurate estimate.
+
+        :param clock: the other process's clock in seconds, as sent.
         """
-        lead = clock - now
-        if lead >= self._lead or now - self._lead_at > CLOCK_WINDOW_SECONDS:
-            self._lead = lead
-            self._lead_at = now
+        offset = clock - now
+        if (
+            offset >= self._clock_offset
+            or now - self._clock_offset_at > CLOCK_WINDOW_SECONDS
+        ):
+            self._clock_offset = offset
+            self._clock_offset_at = now
 
     def estimate_clock(self, now: float) -> float:
-        """Tell what the other's clock shows at least; minus infinity at first."""
-        return now + self._lead
+        """Return a lower bound of the other process's clock.
+
+        :return: in seconds; minus infinity if no clock was received yet.
+        """
+        return now + self._clock_offset
 
 
 class Links:
-    """Open streams of one process."""
+    """Open streams of one process.
+
+    :param limit: number of entries that an agent keeps a stream to; ``None`` for an
+        entry, which keeps one to every other entry.
+    """
 
     def __init__(
         self, own_address: str, own_incarnation: str, now: float, limit: int | None
@@ -172,28 +225,28 @@
         self.addresses = Addresses(own_address, limit)
         self.own_incarnation = own_incarnation
         self._is_entry = limit is None
-        self._turn_at = now
+        self._last_event_at = now
         self._by_stream: dict[int, Link] = {}
         self._by_incarnation: dict[str, list[Link]] = {}
-        self._peer_pulse_at = now if self._is_entry else math.inf
+        self._next_peer_heartbeat_at = now if self._is_entry else math.inf
         self.next_check_at = now
 
     def begin_event(self, now: float) -> bool:
-        """Begin to handle an event.
+        """Prepare for handling one event.
 
-        :return: whether all streams must be given up, as this process has stood still
-            for longer than others wait for it. What then lies in its sockets is old,
-            and other entries may have taken over what it was at.
+        :return: whether all streams must be closed, because this process was paused for
+            longer than others wait for it. The frames in its sockets are then outdated,
+            and other entries may have taken over its jobs.
         """
-        stood_still = now - self._turn_at > BUSY_TIMEOUT_SECONDS
-        self._turn_at = now
-        return stood_still
+        was_paused = now - self._last_event_at > BUSY_TIMEOUT_SECONDS
+        self._last_event_at = now
+        return was_paused
 
     def __iter__(self) -> Iterator[Link]:
         return iter(list(self._by_stream.values()))
 
     def list_peers(self) -> list[Link]:
-        """List one stream to each entry."""
+        """List the newest stream to each entry."""
         return [
             links[-1]
             for links in self._by_incarnation.values()
@@ -203,12 +256,12 @@
     def add_stream(
         self, stream: int, hello: Hello, dialled: str, now: float
     ) -> Link | None:
-        """Note a new stream.
+        """Add a stream that was opened.
 
-        :return: ``None`` if it leads back to this very process.
+        :return: ``None`` if the stream leads back to this process.
         """
         if hello.incarnation == self.own_incarnation:
-            # A seed may name this process by another address.
+            # A seed address may be another address of this process.
             self.addresses.forget(dialled)
             return None
         link = self._by_stream[stream] = Link(stream, hello, dialled, now)
@@ -220,7 +273,10 @@
         return link
 
     def remove_stream(self, stream: int, address: str, now: float) -> Link | None:
-        """Note that a stream ended, or that an address could not be dialled."""
+        """Remove a stream that ended, or record that dialling an address failed.
+
+        :return: the removed stream; ``None`` if the stream was not open.
+        """
         link = self._by_stream.pop(stream, None)
         if link is None:
             self.addresses.remove_stream("", address, now)
@@ -234,13 +290,15 @@
         return link
 
     def record_frame(self, stream: int, now: float) -> Link | None:
-        """Note that a frame arrived; ``None`` if the stream must not be used.
+        """Record that a frame arrived.
+
+        A frame that was delayed by a network cut must not be processed: its sender has
+        given it up already. The time since the previous frame reveals the delay.
 
-        Frames that a cut held up must not be acted on: their sender has given up on
-        them long ago. The gap since the last frame shows it.
+        :return: the stream; ``None`` if it must not be used any more.
         """
         link = self._by_stream.get(stream)
-        if link is None or self._is_silent(link, now):
+        if link is None or self._is_timed_out(link, now):
             return None
         link.last_received_at = now
         link.probed_at = math.inf
@@ -251,7 +309,7 @@
 
     @property
     def peer_heartbeat_seconds(self) -> float:
-        """Seconds between proofs of life to other entries."""
+        """Seconds between heartbeats to other entries."""
         return min(
             MAX_PEER_HEARTBEAT_SECONDS,
             max(
@@ -261,41 +319,45 @@
         )
 
     def is_responsive(self, link: Link, now: float) -> bool:
-        """Tell whether another entry was heard as lately as one that lives is."""
+        """Return whether another entry's last frame is as recent as a live entry's."""
         return (
             now - link.last_received_at
             <= RESPONSIVE_HEARTBEATS * self.peer_heartbeat_seconds
         )
 
-    def _is_silent(self, link: Link, now: float) -> bool:
-        heard_at = link.last_received_at
+    def _is_timed_out(self, link: Link, now: float) -> bool:
+        last_received_at = link.last_received_at
         if self._is_peer(link):
             limit = max(
                 BUSY_TIMEOUT_SECONDS, PEER_TIMEOUT_FACTOR * self.peer_heartbeat_seconds
             )
-            return now - heard_at > limit
+            return now - last_received_at > limit
         if now - link.probed_at > PROBE_TIMEOUT_SECONDS:
             return True
         if link.busy_since < math.inf:
-            # Until work was sent nothing had to be heard.
-            lived_at = min(heard_at, link.last_alive_at)
-            return now - max(lived_at, link.busy_since) > BUSY_TIMEOUT_SECONDS
-        return now - heard_at > IDLE_TIMEOUT_SECONDS
+            # No frame was due before work was sent.
+            alive_at = min(last_received_at, link.last_alive_at)
+            return now - max(alive_at, link.busy_since) > BUSY_TIMEOUT_SECONDS
+        return now - last_received_at > IDLE_TIMEOUT_SECONDS
 
     def list_timed_out(self, now: float) -> list[Link]:
-        """List the streams on which nothing came for too long."""
-        return [link for link in self._by_stream.values() if self._is_silent(link, now)]
+        """List the streams on which no frame arrived within the timeout."""
+        return [
+            link for link in self._by_stream.values() if self._is_timed_out(link, now)
+        ]
 
     def has_pending_probe(self, stream: int) -> bool:
-        """Tell whether a stream was probed and not heard since."""
+        """Return whether a stream was probed and no frame has arrived since."""
         link = self._by_stream.get(stream)
         return link is not None and link.is_probe_pending
 
     def start_probes(self, now: float) -> list[Link]:
-        """List idle streams to probe after one has fallen silent.
+        """Mark idle streams as probed after another stream has timed out.
+
+        What broke one stream may have broken all. Idle streams would time out seconds
+        later only, and work sent on them until then would be lost.
 
-        What silenced one may have silenced all. With nothing in flight that shows
-        seconds later, and until then work is sent on them in vain.
+        :return: the streams on which the caller must send a probe.
         """
         probed = [
             link
@@ -310,30 +372,34 @@
         return probed
 
     def get(self, stream: int) -> Link | None:
-        """Find the open stream with a number."""
+        """Return the open stream with a number, or ``None``."""
         return self._by_stream.get(stream)
 
     def find(self, incarnation: str) -> Link | None:
-        """Find the newest stream to a process."""
+        """Return the newest stream to a process, or ``None``."""
         same = self._by_incarnation.get(incarnation)
         return same[-1] if same else None
 
     def record_sent(self, actions: Iterable[object], now: float) -> None:
-        """Note which streams carry a frame now that proves life as well as a pulse."""
+        """Record on which streams a frame is sent that replaces a heartbeat."""
         for action in actions:
             if isinstance(action, Send):
                 link = self._by_stream.get(action.stream)
-                if link is not None and self._proves_life(link, action):
+                if link is not None and self._shows_liveness(link, action):
                     link.sent_at = now
 
-    def _proves_life(self, link: Link, action: Send) -> bool:
-        # Agents grant leases for as long as an entry is known to have lived; a frame
-        # that doesn't tell when it was sent may be old.
+    def _shows_liveness(self, link: Link, action: Send) -> bool:
+        # Agents grant leases based on when an entry is known to have been alive. A
+        # frame that doesn't state when it was sent may be old and doesn't show that.
         to_agent = self._is_entry and link.hello.role == Role.AGENT
         return not to_agent or isinstance(action.message, (Alive, StartRun))
 
     def list_due_heartbeats(self, now: float) -> list[Link]:
-        """List the streams on which a proof of life is due, once in ``LOOK``."""
+        """List the streams on which a heartbeat is due.
+
+        Streams are checked at most once in ``BUSY_CHECK_SECONDS``, or in
+        ``IDLE_CHECK_SECONDS`` if all are idle; in between the list is empty.
+        """
         if now < self.next_check_at:
             return []
         busy = any(each.busy_since < math.inf for each in self._by_stream.values())
@@ -351,13 +417,16 @@
         ]
 
     def list_due_peer_heartbeats(self, now: float) -> list[Link]:
-        """List the streams to other entries, once in ``peer_pulse``."""
-        if now < self._peer_pulse_at:
+        """List the streams to other entries, once in ``peer_heartbeat_seconds``.
+
+        In between the list is empty.
+        """
+        if now < self._next_peer_heartbeat_at:
             return []
-        self._peer_pulse_at = now + self.peer_heartbeat_seconds
+        self._next_peer_heartbeat_at = now + self.peer_heartbeat_seconds
         return [link for link in self._by_stream.values() if self._is_peer(link)]
 
     def next_wakeup(self) -> float:
-        """Tell when something here is due."""
-        looks = min(self.next_check_at, self._peer_pulse_at)
-        return min(looks, self.addresses.next_wakeup())
+        """Return when the next heartbeat check or dial is due."""
+        next_check_at = min(self.next_check_at, self._next_peer_heartbeat_at)
+        return min(next_check_at, self.addresses.next_wakeup())
--- a/src/godwitbank/_internal/core/runs/outbox.py
+++ b/src/godwitbank/_internal/core/runs/outbox.py
@@ -1,4 +1,4 @@
-"""Outcomes for entries that have no stream at the moment."""
+"""Outcomes of runs whose entry has no open stream to this agent at the moment."""
 
 from collections import defaultdict
 from typing import NamedTuple
@@ -6,24 +6,27 @@
 from godwitbank._internal.models.run_messages import RunOutcome
 
 OUTCOME_RETENTION_SECONDS = 5.0
-"""Seconds an outcome waits for its entry to come back; later it has given up."""
+"""Seconds for which an outcome is kept until its entry reconnects.
+
+After that time the entry has given up the run.
+"""
 
 
 class KeptOutcome(NamedTuple):
-    """An outcome and when it was put here."""
+    """An outcome and the time at which it was stored."""
 
     outcome: RunOutcome
     kept_at: float
 
 
 class Outbox:
-    """Outcomes by the incarnation of the entry they belong to."""
+    """Undelivered outcomes, by the incarnation of the entry that owns the run."""
 
     def __init__(self) -> None:
         self._kept: dict[str, list[KeptOutcome]] = defaultdict(list)
 
     def put(self, owner: str, outcome: RunOutcome, now: float) -> None:
-        """Keep an outcome, and drop what is too old."""
+        """Store an outcome, and drop all outcomes that have expired."""
         self._kept[owner].append(KeptOutcome(outcome, now))
         for key in list(self._kept):
             fresh = [
@@ -37,7 +40,7 @@
                 del self._kept[key]
 
     def take(self, owner: str, now: float) -> list[RunOutcome]:
-        """Take the outcomes of an entry that is back."""
+        """Remove and return the outcomes of an entry that has reconnected."""
         kept = self._kept.pop(owner, [])
         return [
             each.outcome
--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -219,14 +219,14 @@
     Break(
         "old frames are acted on",
         f"{LEASED}/links.py",
-        "if link is None or self._is_silent(link, now):",
+        "if link is None or self._is_timed_out(link, now):",
         "if link is None:",
         f"{RUNS}/test_links.py::test_what_a_cut_held_up_is_not_acted_on",
     ),
     Break(
         "a process doesn't notice that it stood still",
         f"{LEASED}/links.py",
-        "        return stood_still",
+        "        return was_paused",
         "        return False",
         f"{RUNS}/test_links.py::test_a_process_that_stood_still_gives_up_all_streams",
     ),
