--- a/src/godwitbank/_internal/core/runs/addresses.py
+++ b/src/godwitbank/_internal/core/runs/addresses.py
@@ -1,7 +1,7 @@
-"""Addresses of entries: which are known, and which a process keeps a stream to.
+"""Addresses of entries, and which of them a process dials.
 
-An entry keeps one to every other entry. An agent keeps some only, so that what agents
-and entries spend on each other does not grow with their number.
+An entry keeps a stream to every other entry. An agent keeps streams to a limited number
+of entries, so that the cost of the streams doesn't grow with the number of processes.
 """
 
 import math
@@ -10,71 +10,86 @@
 from typing import NamedTuple
 
 ENTRIES_PER_AGENT = 8
-"""Entries that an agent keeps a stream to, if there are as many. With half of all
-entries gone, one agent of 256 is left without any, for as long as a dial takes; and
-each entry still sees eight times the agents there are to an entry, so that one with
-several times the usual demand finds room."""
+"""Number of entries that an agent keeps a stream to, if there are that many.
+
+If half of all entries are lost, one agent of 256 loses all its streams, until it has
+dialled another entry. Each entry is connected to eight times as many agents as there
+are agents per entry, so that an entry with several times the usual demand finds free
+capacity.
+"""
 
 FIRST_DIAL_DELAY_SECONDS = 0.1
 MAX_DIAL_DELAY_SECONDS = 0.5
-"""Seconds before an address that could not be reached is dialled again. Short:
-two entries without a stream don't know what the other has taken."""
+"""First and longest delay in seconds before an unreachable address is dialled again.
+
+The delays are short because two entries without a stream between them don't know which
+jobs the other one has accepted.
+"""
 
 MAX_SPARE_DIAL_DELAY_SECONDS = 3.0
-"""The longest such delay while there are streams enough without it. An agent that
-knows of entries that are gone for good would dial them twice a second otherwise."""
+"""Longest such delay, in seconds, while an agent has enough streams to other entries.
+
+Without it, an agent would dial entries that are gone for good twice a second.
+"""
 
 PASSIVE_DIAL_DELAY_SECONDS = 0.1
-"""Seconds that the entry with the higher address leaves to the other to dial first, so
-that two entries started at once don't keep two streams."""
+"""Seconds for which the entry with the higher address waits for the other to dial.
+
+This prevents that two entries that start at the same time open two streams to each
+other.
+"""
 
 
 class DialState(NamedTuple):
-    """When an address may be dialled again, and the delay after a failure."""
+    """When an address may be dialled again.
+
+    :param due_at: time from which it may be dialled.
+    :param delay: seconds to wait if the next dial fails.
+    """
 
     due_at: float
     delay: float
 
 
 class Addresses:
-    """Addresses of entries, as one process knows them.
+    """Addresses of entries known to one process, and their dial state.
 
     :param own: the process's own address, which is never dialled.
-    :param limit: streams wanted; none: to every address.
+    :param limit: number of entries to keep a stream to; ``None`` for all of them.
     """
 
     def __init__(self, own: str, limit: int | None = None) -> None:
         self._own = own
         self._limit = limit
-        self._dialling: dict[str, DialState] = {}
+        self._dial_states: dict[str, DialState] = {}
         self._ranked: list[str] = []
-        self._busy: set[str] = set()
-        self._linked: dict[str, int] = {}
-        self._due_at = math.inf
+        self._dialled: set[str] = set()
+        self._stream_counts: dict[str, int] = {}
+        self._next_due_at = math.inf
 
     def add(self, addresses: Iterable[str], now: float) -> list[str]:
-        """Note addresses, and return those that are new."""
-        news = [
+        """Add addresses, and return those that were not known before."""
+        added = [
             address
             for address in dict.fromkeys(addresses)
-            if address != self._own and address not in self._dialling
+            if address != self._own and address not in self._dial_states
         ]
-        for address in news:
+        for address in added:
             passive = self._limit is None and address < self._own
             due_at = now + PASSIVE_DIAL_DELAY_SECONDS if passive else now
-            self._plan(address, DialState(due_at, FIRST_DIAL_DELAY_SECONDS))
-        if news:
-            self._ranked = sorted(self._dialling, key=self._score)
-        return news
+            self._schedule(address, DialState(due_at, FIRST_DIAL_DELAY_SECONDS))
+        if added:
+            self._ranked = sorted(self._dial_states, key=self._score)
+        return added
 
     def _score(self, address: str) -> bytes:
-        # Rendezvous hashing: every agent ranks all entries its own way, and one that
-        # comes or goes moves only the streams that it has a part in.
+        # Rendezvous hashing: every agent ranks the entries in a different order, and an
+        # entry that is added or lost moves only streams to this entry.
         return blake2b(f"{self._own} {address}".encode(), digest_size=8).digest()
 
-    def _plan(self, address: str, dialling: DialState) -> None:
-        self._dialling[address] = dialling
-        self._due_at = min(self._due_at, dialling.due_at)
+    def _schedule(self, address: str, state: DialState) -> None:
+        self._dial_states[address] = state
+        self._next_due_at = min(self._next_due_at, state.due_at)
 
     @property
     def own(self) -> str:
@@ -83,103 +98,115 @@
 
     @property
     def count(self) -> int:
-        """Number of addresses known but the own one."""
-        return len(self._dialling)
+        """Number of known addresses other than the own one."""
+        return len(self._dial_states)
 
     def list_known(self) -> list[str]:
-        """List all addresses known, own one included."""
-        return sorted({*self._dialling, self._own})
+        """List all known addresses, including the own one."""
+        return sorted({*self._dial_states, self._own})
 
     def list_others(self) -> list[str]:
-        """List all addresses known but the own one."""
-        return sorted(self._dialling)
+        """List all known addresses other than the own one."""
+        return sorted(self._dial_states)
 
     def list_due(self, now: float) -> list[str]:
-        """List the addresses to dial now, and note that they are dialled."""
-        if now < self._due_at:
+        """List the addresses to dial now, and mark them as dialled."""
+        if now < self._next_due_at:
             return []
         due: list[str] = []
         missing = self._count_missing()
         for position, address in enumerate(self._ranked):
-            if self._is_engaged(address) or self._dialling[address].due_at > now:
+            if self._is_in_use(address) or self._dial_states[address].due_at > now:
                 continue
             if self._is_preferred(position) or missing > 0:
                 due.append(address)
                 missing -= 1
-        self._busy.update(due)
-        self._due_at = self._find_due(now)
+        self._dialled.update(due)
+        self._next_due_at = self._find_next_due(now)
         return due
 
     def _count_missing(self) -> int:
         if self._limit is None:
-            return len(self._dialling)
-        return self._limit - len(self._linked) - len(self._busy - self._linked.keys())
+            return len(self._dial_states)
+        return (
+            self._limit
+            - len(self._stream_counts)
+            - len(self._dialled - self._stream_counts.keys())
+        )
 
-    def _is_engaged(self, address: str) -> bool:
-        return address in self._busy or address in self._linked
+    def _is_in_use(self, address: str) -> bool:
+        return address in self._dialled or address in self._stream_counts
 
     def _is_preferred(self, position: int) -> bool:
         return self._limit is None or position < self._limit
 
-    def _find_due(self, now: float) -> float:
-        # Addresses that are due and weren't dialled are not needed now.
+    def _find_next_due(self, now: float) -> float:
+        # Addresses that are due but were not dialled just now are not needed.
         return min(
             (
-                dialling.due_at
-                for address, dialling in self._dialling.items()
-                if dialling.due_at > now and not self._is_engaged(address)
+                state.due_at
+                for address, state in self._dial_states.items()
+                if state.due_at > now and not self._is_in_use(address)
             ),
             default=math.inf,
         )
 
     def forget(self, address: str) -> None:
-        """Forget an address that leads back to this process."""
-        self._dialling.pop(address, None)
-        self._busy.discard(address)
+        """Remove an address that leads back to this process."""
+        self._dial_states.pop(address, None)
+        self._dialled.discard(address)
         self._ranked = [each for each in self._ranked if each != address]
 
     def add_stream(self, address: str, dialled: str, now: float) -> None:
-        """Note a stream to the process with an address.
+        """Record that a stream to an entry was opened.
 
-        :param dialled: the address it was reached by; empty if it dialled.
+        :param address: the entry's own address.
+        :param dialled: the address that was dialled; empty if the entry dialled.
         """
         if address != self._own:
-            self._linked[address] = self._linked.get(address, 0) + 1
+            self._stream_counts[address] = self._stream_counts.get(address, 0) + 1
         if dialled:
-            self._plan(dialled, DialState(now, FIRST_DIAL_DELAY_SECONDS))
+            self._schedule(dialled, DialState(now, FIRST_DIAL_DELAY_SECONDS))
 
     def remove_stream(self, address: str, dialled: str, now: float) -> None:
-        """Note that a stream ended, or that an address could not be dialled."""
-        left = self._linked.pop(address, 0) - 1
-        if left > 0:
-            self._linked[address] = left
-        if dialled in self._dialling and dialled in self._busy:
-            self._busy.discard(dialled)
-            delay = self._dialling[dialled].delay
+        """Record that a stream ended, or that an address could not be reached.
+
+        :param address: the entry's own address; empty if no stream was opened.
+        :param dialled: the address that was dialled; empty if the entry dialled.
+        """
+        remaining = self._stream_counts.pop(address, 0) - 1
+        if remaining > 0:
+            self._stream_counts[address] = remaining
+        if dialled in self._dial_states and dialled in self._dialled:
+            self._dialled.discard(dialled)
+            delay = self._dial_states[dialled].delay
             enough = self._limit is not None and self._count_missing() <= 0
-            longest = MAX_SPARE_DIAL_DELAY_SECONDS if enough else MAX_DIAL_DELAY_SECONDS
-            self._plan(dialled, DialState(now + delay, min(delay * 2, longest)))
-        elif address in self._dialling and not self._is_engaged(address):
-            # It dialled, and will again if it lives.
+            max_delay = (
+                MAX_SPARE_DIAL_DELAY_SECONDS if enough else MAX_DIAL_DELAY_SECONDS
+            )
+            self._schedule(dialled, DialState(now + delay, min(delay * 2, max_delay)))
+        elif address in self._dial_states and not self._is_in_use(address):
+            # The other entry had dialled, and dials again if it is alive.
             due_at = now + FIRST_DIAL_DELAY_SECONDS + PASSIVE_DIAL_DELAY_SECONDS
-            self._plan(address, DialState(due_at, FIRST_DIAL_DELAY_SECONDS))
+            self._schedule(address, DialState(due_at, FIRST_DIAL_DELAY_SECONDS))
         if self._limit is not None:
-            # Another one may take its place at once.
-            self._due_at = min(self._due_at, now)
+            # Another entry may be dialled in its place at once.
+            self._next_due_at = min(self._next_due_at, now)
 
     def next_wakeup(self) -> float:
-        """Tell when an address is due."""
-        return self._due_at
+        """Return when the next address is due for dialling."""
+        return self._next_due_at
 
     def find_surplus(self) -> str | None:
-        """Find the least wanted address among more streams than are needed.
+        """Find the lowest ranked connected address if there are too many streams.
+
+        A stream is closed only after the one that replaces it has been opened.
 
-        One that is wanted must have taken its place, so that streams move only
-        when there is one more.
+        :return: the address whose stream to close; ``None`` if there is no surplus.
         """
-        if self._limit is None or len(self._linked) <= self._limit:
+        if self._limit is None or len(self._stream_counts) <= self._limit:
             return None
         for address in reversed(self._ranked):
-            if address in self._linked:
+            if address in self._stream_counts:
                 return address
         return None
--- a/src/godwitbank/_internal/core/runs/delays.py
+++ b/src/godwitbank/_internal/core/runs/delays.py
@@ -1,4 +1,7 @@
-"""Jobs whose start waits until others' runs of them are gone, and who waits so."""
+"""Jobs whose start is delayed until other entries' runs of them have ended.
+
+Also keeps track of the entries that wait for a job to stop.
+"""
 
 from collections.abc import Callable, Iterable, Mapping
 
@@ -11,12 +14,16 @@
 
 
 class DelayedJob:
-    """A job whose start waits until others' runs of it are gone.
-
-    :param abandoned: it won't be started here; a third entry waits in turn.
-    :param claim_sent: agents were asked to stop others' runs of it.
-    :param unanswered_streams: streams of the agents that have not answered yet.
-    :param stopping_streams: streams of those that still stop runs of it.
+    """A job whose start is delayed until other entries' runs of it have ended.
+
+    :ivar requested_at: time in seconds at which the other runs were asked to stop.
+    :ivar start_at: time in seconds at which to check again whether the job may start.
+    :ivar abandoned: whether the job will not be started here, while another entry that
+        wants to start it waits for this one.
+    :ivar claim_sent: whether agents were asked to stop other entries' runs of the job.
+    :ivar unanswered_streams: streams of the agents that have not confirmed yet that all
+        such runs have ended.
+    :ivar stopping_streams: streams of the agents that are still stopping such runs.
     """
 
     __slots__ = (
@@ -39,15 +46,22 @@
         self.stopping_streams: set[int] = set()
 
     def record_claim(self, streams: Iterable[int]) -> None:
-        """Note that agents were asked to stop others' runs of it."""
+        """Record that agents were asked to stop other entries' runs of the job.
+
+        :param streams: streams of these agents.
+        """
         self.claim_sent = True
         self.unanswered_streams = set(streams)
 
-    def handle_claimed(self, stream: int, over: bool) -> bool:
-        """Take an agent's answer; tells whether all have answered that all is over."""
+    def handle_claimed(self, stream: int, all_stopped: bool) -> bool:
+        """Process an agent's answer to a claim.
+
+        :param all_stopped: whether no other entry's run is left at the agent.
+        :return: whether all agents have now confirmed this.
+        """
         if stream not in self.unanswered_streams:
             return False
-        if not over:
+        if not all_stopped:
             self.stopping_streams.add(stream)
             return False
         self.stopping_streams.discard(stream)
@@ -57,18 +71,21 @@
     def may_start(
         self, links: Mapping[int, Link], now: float, expects_answers: bool
     ) -> bool:
-        """Tell whether nothing of it can run that was claimed a while ago.
+        """Return whether no other entry's run of a claimed job can be in progress.
+
+        If an agent was lost before it confirmed, this also postpones ``start_at`` until
+        the leases of its runs have ended.
 
-        :param links: streams of the agents that are reached.
+        :param links: connected agents, by stream.
         :param expects_answers: whether the orders of a lost entry may still be in
             force at an agent that has not answered yet.
         """
         awaited = self.unanswered_streams if expects_answers else self.stopping_streams
-        gone = awaited - links.keys()
-        if gone:
-            # An agent was lost that may have runs of it; their leases end.
-            self.unanswered_streams -= gone
-            self.stopping_streams -= gone
+        lost = awaited - links.keys()
+        if lost:
+            # A lost agent may have runs of the job. Wait until their leases end.
+            self.unanswered_streams -= lost
+            self.stopping_streams -= lost
             self.start_at = now + LAPSE_SECONDS
             return False
         if self.stopping_streams:
@@ -81,42 +98,45 @@
 
 
 class YieldWaiters:
-    """Whom to tell once a job has stopped here, or where it was asked to stop."""
+    """Entries that wait for a job to stop at this entry or at another one."""
 
     def __init__(self) -> None:
-        self._here: dict[str, list[int]] = {}
+        self._waiting: dict[str, list[int]] = {}
         self._relayed: dict[str, list[int]] = {}
-        self._out: Callable[[RunAction], None] = lambda action: None
+        self._emit: Callable[[RunAction], None] = lambda action: None
 
-    def begin_event(self, out: Callable[[RunAction], None]) -> None:
+    def begin_event(self, emit: Callable[[RunAction], None]) -> None:
         """Prepare for one event."""
-        self._out = out
+        self._emit = emit
 
     def add(self, job: str, stream: int) -> None:
-        """Note whom to tell once nothing of a job runs here."""
-        self._here.setdefault(job, []).append(stream)
+        """Record that an entry waits until no run of a job is left here.
+
+        :param stream: the stream to that entry.
+        """
+        self._waiting.setdefault(job, []).append(stream)
 
     def list_jobs(self) -> list[str]:
-        """List the jobs whose end somebody waits for here."""
-        return list(self._here)
+        """List the jobs for which entries wait until they have stopped here."""
+        return list(self._waiting)
 
     def answer(self, job: str) -> None:
-        """Tell those who wait that nothing of a job runs here."""
-        self._tell(job, self._here.pop(job, []))
+        """Tell the waiting entries that no run of a job is left here."""
+        self._send_yielded(job, self._waiting.pop(job, []))
 
     def relay(self, message: Yield, stream: int, owner: int) -> None:
-        """Ask the entry that has a job in place of one that can't reach it.
+        """Forward a stop request to a job's owner that the requester can't reach.
 
-        :param stream: of the one that asked.
-        :param owner: stream of the one that has the job.
+        :param stream: stream to the requester.
+        :param owner: stream to the entry that has the job.
         """
         self._relayed.setdefault(message.job, []).append(stream)
-        self._out(Send(owner, message))
+        self._emit(Send(owner, message))
 
     def answer_relayed(self, job: str) -> None:
-        """Pass on that a job has stopped where it was."""
-        self._tell(job, self._relayed.pop(job, []))
+        """Tell the requesters that a job has stopped at the entry that had it."""
+        self._send_yielded(job, self._relayed.pop(job, []))
 
-    def _tell(self, job: str, streams: list[int]) -> None:
+    def _send_yielded(self, job: str, streams: list[int]) -> None:
         for stream in streams:
-            self._out(Send(stream, Yielded(job)))
+            self._emit(Send(stream, Yielded(job)))
--- a/src/godwitbank/_internal/core/runs/forwarding.py
+++ b/src/godwitbank/_internal/core/runs/forwarding.py
@@ -1,8 +1,9 @@
-"""Jobs that an entry without processor time hands on whole to another entry.
+"""Jobs that an overloaded entry forwards to another entry.
 
-Reading a request and passing on its answer takes a third of the processor time that
-serving the job takes. A small entry whose zone's callers all come to it so serves them
-with its neighbours' time; its callers' connections stay where they are.
+Reading a request and relaying its answer takes a third of the processor time that
+serving the whole job takes. A small entry that gets all callers of its availability
+zone can thus serve them with the processor time of other entries. The callers'
+connections stay at the entry that they reached.
 """
 
 from collections.abc import Callable, Iterator
@@ -30,33 +31,50 @@
 )
 
 FORWARD_LAG_SECONDS = 0.01
-"""Seconds of lateness from which new jobs are handed on; a third of that at which they
-are refused, as the way to another entry and back costs a job little."""
+"""Event loop lag in seconds from which new jobs are forwarded.
+
+A third of the lag at which jobs are refused, as the round trip to another entry costs a
+job little time.
+"""
 
 SPARE_LAG_SECONDS = 0.005
-"""Mean lateness in seconds below which an entry is handed jobs of others. Above
-``FORWARD_LAG`` entries with nothing to spare hand jobs to each other."""
+"""Mean event loop lag in seconds below which other entries forward jobs to an entry.
+
+If this were above ``FORWARD_LAG_SECONDS``, entries without spare processor time would
+forward jobs to each other.
+"""
 
 SHED_LAG_SECONDS = 0.1
-"""Seconds of lateness from which even handing on is too much work: callers are refused
-before their requests are read, which takes a tenth of the processor time of a job."""
+"""Event loop lag in seconds from which requests are refused before they are read.
+
+Even forwarding is then too much work. Such a refusal takes a tenth of the processor
+time of a job.
+"""
 
 RANDOM_CHOICES = 2
-"""Entries drawn at random of which the less late one is taken: what they tell is a
-pulse old, and the least late of all would be handed everything meanwhile."""
+"""Number of entries drawn at random, of which the one with the least lag is chosen.
+
+The lags known of other entries are up to a heartbeat interval old. If the entry with
+the least lag of all were chosen, it would get all jobs during that interval.
+"""
 
 RESULT_GRACE_SECONDS = 0.2
-"""Seconds beyond a caller's patience that its job's result may take from another entry,
-which gives the job up in time itself."""
+"""Seconds beyond a caller's timeout after which a forwarded job is given up here.
+
+The other entry itself gives the job up when the caller's timeout expires.
+"""
 
 
 class ForwardedJob(NamedTuple):
-    """A job that another entry serves for callers here.
+    """A job that another entry serves for callers of this entry.
 
+    :param stream: stream to the other entry.
     :param server: incarnation of the other entry.
-    :param acquired: whether this entry was the one that might start it.
-    :param joined: the job, if it was at the other entry already; it can be served here
-        if that one hasn't it any more.
+    :param expires_at: time in seconds at which the job is given up here.
+    :param acquired: whether this entry held the right to start the job, and passed it
+        on.
+    :param joined: the job, if the other entry had it already and callers of this entry
+        only joined it there. It is served here if the other entry no longer has it.
     """
 
     callers: list[int]
@@ -68,10 +86,11 @@
 
 
 class ForwardRequest(NamedTuple):
-    """A job to be served by another entry.
+    """A job to be forwarded to another entry.
 
-    :param timeout_seconds: seconds its callers wait.
-    :param acquired: whether this entry might start it; its right goes along.
+    :param timeout_seconds: seconds for which the callers wait.
+    :param acquired: whether this entry holds the right to start the job, which is then
+        passed on.
     """
 
     spec: JobSpec
@@ -81,7 +100,7 @@
 
 
 class Forwarding:
-    """The jobs of this entry's callers that other entries serve."""
+    """Forwards jobs to other entries, and keeps track of those that they serve."""
 
     def __init__(
         self,
@@ -98,211 +117,242 @@
         self._counts = counts
         self._rng = rng
         self._zone = zone
-        self._handed: dict[str, ForwardedJob] = {}
+        self._forwarded: dict[str, ForwardedJob] = {}
         self.resubmit: Callable[[Job], None] = lambda job: None
-        """Starts a job here that another entry was to serve."""
+        """Submits a job at this entry that another entry was to serve."""
         self.find_home: Callable[[str], Link | None] = lambda job: None
-        """Finds the entry that decides about a job, if it is another one."""
+        """Finds the home entry of a job, unless it is this entry.
+
+        The home of a job decides which entry may start it.
+        """
         self.acquire: Callable[[str], bool] = lambda job: False
-        """Tells whether this entry may start a job, where it decides about that."""
+        """Acquires the right to start a job, if this entry is the job's home.
+
+        Returns whether the right was acquired.
+        """
         self.on_job_finished: Callable[[str], None] = lambda job: None
-        """Told of each job that was handed on with the right to start it, and ended."""
+        """Called when a job ended that was forwarded with the right to start it."""
         self.on_job_unresolved: Callable[[str, str], None] = lambda job, server: None
-        """Told of each such job that another entry may still run, and of that one."""
+        """Called when such a job was given up here but may still run elsewhere.
+
+        Arguments are the job and the incarnation of the entry that may still run it.
+        """
         self._now = 0.0
-        self._out: Callable[[RunAction], None] = lambda action: None
+        self._emit: Callable[[RunAction], None] = lambda action: None
 
-    def begin_event(self, now: float, out: Callable[[RunAction], None]) -> None:
+    def begin_event(self, now: float, emit: Callable[[RunAction], None]) -> None:
         """Prepare for one event."""
         self._now = now
-        self._out = out
+        self._emit = emit
 
     @property
     def busy(self) -> bool:
         """Whether another entry serves a job for this one."""
-        return bool(self._handed)
+        return bool(self._forwarded)
 
     def has(self, job: str) -> bool:
-        """Tell whether another entry serves a job for this one."""
-        return job in self._handed
+        """Return whether another entry serves a job for this one."""
+        return job in self._forwarded
 
     def has_transferred(self, job: str) -> bool:
-        """Tell whether a job that this entry might start was handed on."""
-        handed = self._handed.get(job)
-        return handed is not None and handed.acquired
+        """Return whether a job was forwarded along with the right to start it."""
+        forwarded = self._forwarded.get(job)
+        return forwarded is not None and forwarded.acquired
 
     @property
     def sheds_load(self) -> bool:
-        """Whether requests are refused before they are read."""
+        """Whether requests are refused before they are read, to save processor time."""
         if not self._pressure.behind:
             return False
-        return self._pressure.lag >= SHED_LAG_SECONDS or not any(self._list_spare())
+        return self._pressure.lag >= SHED_LAG_SECONDS or not any(
+            self._list_candidates()
+        )
 
     def join(self, event: JobSubmitted) -> bool:
-        """Let a caller wait for a job that was handed on already, if it was."""
-        known = event.spec.job in self._handed
+        """Add a caller to a job if the job was forwarded before.
+
+        :return: whether it was.
+        """
+        known = event.spec.job in self._forwarded
         if known:
             self.add_caller(event.spec.job, event.caller)
         return known
 
     def can_join(self, job: str, stream: int) -> bool:
-        """Tell whether an entry's caller may wait for a job that was handed on.
+        """Return whether another entry's caller may wait for a forwarded job.
 
-        :param stream: that entry's; not the one that the job was handed to.
+        :param stream: stream to the caller's entry. It must not be the entry that the
+            job was forwarded to.
         """
-        return job in self._handed and self._handed[job].stream != stream
+        return job in self._forwarded and self._forwarded[job].stream != stream
 
     def add_caller(self, job: str, caller: int) -> None:
-        """Let a caller wait for a job that was handed on."""
-        self._handed[job].callers.append(caller)
+        """Add a caller to a forwarded job."""
+        self._forwarded[job].callers.append(caller)
 
     def try_forward(self, event: JobSubmitted) -> bool:
-        """Hand a job on, if this entry is late and another one is not."""
+        """Forward a job if this entry lags and another one does not.
+
+        :return: whether the job was forwarded.
+        """
         if self._pressure.lag < FORWARD_LAG_SECONDS:
             return False
-        spare = list(self._list_spare())
+        candidates = list(self._list_candidates())
         link = self.find_home(event.spec.job)
         acquired = False
-        if link is None or link not in spare:
-            link = self._choose(spare)
+        if link is None or link not in candidates:
+            link = self._choose(candidates)
             acquired = link is not None and self.acquire(event.spec.job)
         if link is not None:
-            wanted = ForwardRequest(
+            request = ForwardRequest(
                 event.spec, [event.caller], event.timeout_seconds, acquired
             )
-            self._hand(wanted, link, "processor")
+            self._forward(request, link, "processor")
         return link is not None
 
     def try_forward_for_capacity(self, job: Job) -> bool:
-        """Hand on a job for which there is no room here, if another entry has some.
+        """Forward a job that the agents of this entry have no free capacity for.
+
+        An entry is connected to some of the agents only. If callers are spread
+        unevenly, its agents are full while those of other entries are not. An entry
+        without waiting tasks has both free capacity and processor time.
 
-        An entry meets some of the agents only; with callers spread unevenly its agents
-        are full while others' are not. One where nothing waits has room, and the time.
+        :return: whether the job was forwarded.
         """
         if job.adopted:
-            # It was handed on to here already.
+            # The job was forwarded to this entry; it isn't forwarded twice.
             return False
         idle = [
             link
-            for link in self._list_spare()
+            for link in self._list_candidates()
             if self._admission.is_idle(link.hello.incarnation)
         ]
         link = self._choose(idle)
         if link is not None:
-            patience = job.deadline - self._now
-            wanted = ForwardRequest(job.spec, job.callers, patience, True)
-            self._hand(wanted, link, "room")
+            timeout_seconds = job.deadline - self._now
+            request = ForwardRequest(job.spec, job.callers, timeout_seconds, True)
+            self._forward(request, link, "room")
         return link is not None
 
-    def _hand(self, wanted: ForwardRequest, link: Link, why: str) -> None:
-        spec, callers, patience, acquired = wanted
-        expires_at = self._now + patience + RESULT_GRACE_SECONDS
+    def _forward(self, request: ForwardRequest, link: Link, reason: str) -> None:
+        spec, callers, timeout_seconds, acquired = request
+        expires_at = self._now + timeout_seconds + RESULT_GRACE_SECONDS
         server = link.hello.incarnation
-        handed = ForwardedJob(list(callers), link.stream, server, expires_at, acquired)
-        self._handed[spec.job] = handed
+        forwarded = ForwardedJob(
+            list(callers), link.stream, server, expires_at, acquired
+        )
+        self._forwarded[spec.job] = forwarded
         steps = [list(step) for step in spec.steps]
-        message = Forward(spec.job, spec.queue, spec.payload, steps, patience, acquired)
-        self._out(Send(link.stream, message))
-        self._counts.add("jobs_forwarded", why)
+        message = Forward(
+            spec.job, spec.queue, spec.payload, steps, timeout_seconds, acquired
+        )
+        self._emit(Send(link.stream, message))
+        self._counts.add("jobs_forwarded", reason)
         lag = round(self._pressure.lag, 3)
         fields: dict[str, object] = {"entry": link.hello.process, "lag": lag}
-        fields["reason"] = why
-        self._out(LogDecision("job_forwarded", spec.job, fields))
+        fields["reason"] = reason
+        self._emit(LogDecision("job_forwarded", spec.job, fields))
 
-    def _choose(self, spare: list[Link]) -> Link | None:
-        if not spare:
+    def _choose(self, candidates: list[Link]) -> Link | None:
+        if not candidates:
             return None
-        drawn = self._rng.sample(spare, min(RANDOM_CHOICES, len(spare)))
-        return min(drawn, key=lambda link: (link.lag, link.hello.zone != self._zone))
+        sample = self._rng.sample(candidates, min(RANDOM_CHOICES, len(candidates)))
+        return min(sample, key=lambda link: (link.lag, link.hello.zone != self._zone))
 
-    def _list_spare(self) -> Iterator[Link]:
+    def _list_candidates(self) -> Iterator[Link]:
         for link in self._links.list_peers():
-            # One that is gone would hold a job until its stream is given up.
-            fresh = self._links.is_responsive(link, self._now) and not link.leaving
-            if fresh and link.lag < SPARE_LAG_SECONDS:
+            # A lost entry would keep a job until its stream has timed out.
+            responsive = self._links.is_responsive(link, self._now) and not link.leaving
+            if responsive and link.lag < SPARE_LAG_SECONDS:
                 yield link
 
     def join_at(self, job: Job, link: Link) -> None:
-        """Let the callers of a job wait for it at an entry that has it."""
+        """Let the callers of a job wait for its result from an entry that has it."""
         name = job.spec.job
-        patience = job.deadline - self._now
+        timeout_seconds = job.deadline - self._now
         expires_at = job.deadline + RESULT_GRACE_SECONDS
         server = link.hello.incarnation
-        handed = ForwardedJob(job.callers, link.stream, server, expires_at, joined=job)
-        self._handed[name] = handed
-        self._out(Send(link.stream, Join(name, patience)))
+        forwarded = ForwardedJob(
+            job.callers, link.stream, server, expires_at, joined=job
+        )
+        self._forwarded[name] = forwarded
+        self._emit(Send(link.stream, Join(name, timeout_seconds)))
         self._counts.add("jobs_forwarded", "joined")
         fields: dict[str, object] = {"entry": link.hello.process, "reason": "joined"}
-        self._out(LogDecision("job_forwarded", name, fields))
+        self._emit(LogDecision("job_forwarded", name, fields))
 
     def handle_yielded(self, stream: int, job: str) -> None:
-        """Serve a job here that its callers were to wait for at another entry."""
-        handed = self._handed.get(job)
-        if handed is not None and handed.joined and handed.stream == stream:
-            del self._handed[job]
-            self.resubmit(handed.joined)
+        """Submit a job here after another entry answered that it doesn't have it."""
+        forwarded = self._forwarded.get(job)
+        if forwarded is not None and forwarded.joined and forwarded.stream == stream:
+            del self._forwarded[job]
+            self.resubmit(forwarded.joined)
 
     def handle_result(self, link: Link, message: Forwarded) -> None:
-        """Tell the callers of a job its result."""
-        handed = self._handed.get(message.job)
-        if handed is None or handed.stream != link.stream:
+        """Answer the callers of a job with the result from another entry."""
+        forwarded = self._forwarded.get(message.job)
+        if forwarded is None or forwarded.stream != link.stream:
             return
         retry_after = message.retry_after if message.retry_after >= 0 else None
         end = JobEnd(message.end)
         result = JobResult(message.job, end, message.reason, message.ran, retry_after)
-        if handed.acquired:
+        if forwarded.acquired:
             self.on_job_finished(message.job)
         self._answer(result)
 
     def _answer(self, result: JobResult) -> None:
-        handed = self._handed.pop(result.job)
+        forwarded = self._forwarded.pop(result.job)
         self._counts.add("forwarded_ended", result.end)
         fields: dict[str, object] = {"end": result.end, "reason": result.reason}
-        self._out(LogDecision("forwarded_ended", result.job, fields))
-        for caller in handed.callers:
-            self._out(AnswerCaller(caller, result))
+        self._emit(LogDecision("forwarded_ended", result.job, fields))
+        for caller in forwarded.callers:
+            self._emit(AnswerCaller(caller, result))
 
     def _give_up(self, job: str, reason: str) -> None:
-        # Whether it ran can't be known here any more.
-        handed = self._handed[job]
-        if handed.acquired:
-            self.on_job_unresolved(job, handed.server)
+        # This entry can't know whether the job ran, so it reports that it may have.
+        forwarded = self._forwarded[job]
+        if forwarded.acquired:
+            self.on_job_unresolved(job, forwarded.server)
         result = JobResult(job, JobEnd.GIVEN_UP, reason, True, COME_BACK)
         self._answer(result)
 
     def handle_caller_loss(self, caller: int) -> None:
-        """Withdraw the jobs that only a caller who is gone waits for."""
-        for job, handed in list(self._handed.items()):
-            if caller in handed.callers:
-                handed.callers.remove(caller)
-                if not handed.callers:
+        """Withdraw the jobs that only a disconnected caller was waiting for."""
+        for job, forwarded in list(self._forwarded.items()):
+            if caller in forwarded.callers:
+                forwarded.callers.remove(caller)
+                if not forwarded.callers:
                     self.withdraw(job, "caller_gone")
 
     def withdraw(self, job: str, reason: str) -> None:
-        """Let the other entry give a job up."""
-        handed = self._handed.get(job)
-        if handed is not None:
-            self._out(Send(handed.stream, Withdraw(job)))
+        """Tell the other entry to give up a job, and answer the callers here."""
+        forwarded = self._forwarded.get(job)
+        if forwarded is not None:
+            self._emit(Send(forwarded.stream, Withdraw(job)))
             self._give_up(job, reason)
 
     def handle_stream_loss(self, stream: int) -> None:
-        """Answer callers whose job was handed on by a stream that ended."""
-        for job, handed in list(self._handed.items()):
-            if handed.stream != stream:
+        """Handle the end of a stream to another entry.
+
+        Jobs that callers had joined there are submitted here. The callers of all other
+        jobs forwarded on the stream are answered, as the result can't arrive any more.
+        """
+        for job, forwarded in list(self._forwarded.items()):
+            if forwarded.stream != stream:
                 continue
-            if handed.joined:
-                del self._handed[job]
-                self.resubmit(handed.joined)
+            if forwarded.joined:
+                del self._forwarded[job]
+                self.resubmit(forwarded.joined)
             else:
                 self._give_up(job, "cut_off")
 
     def give_up_expired(self) -> None:
-        """Answer callers whose time is over."""
-        for job, handed in list(self._handed.items()):
-            if handed.expires_at <= self._now:
+        """Withdraw the jobs whose results are overdue."""
+        for job, forwarded in list(self._forwarded.items()):
+            if forwarded.expires_at <= self._now:
                 self.withdraw(job, "deadline")
 
     def give_up_all(self, reason: str) -> None:
-        """Answer all callers."""
-        for job in list(self._handed):
+        """Withdraw all jobs and answer their callers."""
+        for job in list(self._forwarded):
             self.withdraw(job, reason)
--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -481,7 +481,7 @@
     Break(
         "jobs handed on are not withdrawn",
         f"{LEASED}/forwarding.py",
-        "            self._out(Send(handed.stream, Withdraw(job)))\n",
+        "            self._emit(Send(forwarded.stream, Withdraw(job)))\n",
         "",
         f"{RUNS}/test_forwarding.py::"
         "test_a_job_handed_on_is_given_up_when_its_caller_hangs_up",
--- a/tests/core/runs/test_delays.py
+++ b/tests/core/runs/test_delays.py
@@ -26,21 +26,21 @@
 
 def test_all_agents_must_have_answered() -> None:
     delayed = make_delayed()
-    assert not delayed.handle_claimed(1, over=True)
-    assert delayed.handle_claimed(2, over=True)
+    assert not delayed.handle_claimed(1, all_stopped=True)
+    assert delayed.handle_claimed(2, all_stopped=True)
 
 
 def test_an_agent_that_stops_runs_is_waited_for() -> None:
     delayed = make_delayed()
-    delayed.handle_claimed(1, over=False)
-    delayed.handle_claimed(2, over=True)
+    delayed.handle_claimed(1, all_stopped=False)
+    delayed.handle_claimed(2, all_stopped=True)
     assert not delayed.may_start(make_links(), NOW + 5.0, expects_answers=False)
-    assert delayed.handle_claimed(1, over=True)
+    assert delayed.handle_claimed(1, all_stopped=True)
 
 
 def test_the_leases_of_an_agent_that_was_lost_while_it_stopped_runs_end() -> None:
     delayed = make_delayed()
-    delayed.handle_claimed(1, over=False)
+    delayed.handle_claimed(1, all_stopped=False)
     links = make_links()
     del links[1]
     assert not delayed.may_start(links, NOW + 0.2, expects_answers=False)
