--- a/src/godwitbank/_internal/core/runs/entry.py
+++ b/src/godwitbank/_internal/core/runs/entry.py
@@ -1,4 +1,8 @@
-"""The entry's decisions about jobs of leased runs: who is there, what is in force."""
+"""Core of an entry for leased runs: its streams, configuration and shutdown.
+
+The core does no I/O. It gets events from the I/O layer, passes those that concern jobs
+to its components, and returns the actions to perform.
+"""
 
 import math
 from collections.abc import Callable
@@ -85,24 +89,32 @@
 )
 
 ANNOUNCE_ENTRIES_SECONDS = 1.0
-"""Seconds between two messages about entries newly known. Whoever opens a stream is
-told of all at once; an agent has other entries meanwhile."""
+"""Seconds between two announcements of newly known entries.
+
+A process that opens a stream gets all known entries at once. Until an announcement, an
+agent uses the entries that it knows.
+"""
 
 DEADLINE_CHECK_SECONDS = 0.05
-"""Seconds between looks at deadlines while jobs are in flight."""
+"""Seconds between checks of deadlines while jobs are in flight."""
 
 
 UNREADY_SECONDS = 2.5
-"""Seconds after SIGTERM in which callers may still arrive: the balancer looks
-once a second and takes two misses."""
+"""Seconds after SIGTERM in which callers may still arrive.
+
+The load balancer checks readiness once a second, and stops sending callers after two
+failed checks.
+"""
 
 STOP_SECONDS = 5.2
-"""Seconds after SIGTERM at which the last jobs are given up; the process is
-killed at 6 s, and the answers must be out before."""
+"""Seconds after SIGTERM at which the last jobs are given up.
+
+The process is killed after 6 s; the answers must be sent before.
+"""
 
 
 class RunEntryCore:
-    """Decides for one entry; driven by events, answers with actions."""
+    """Decision logic of one entry: handles events and returns actions."""
 
     def __init__(
         self,
@@ -153,42 +165,42 @@
             self.pressure,
             self.counts,
         )
-        self._tick_at = now
-        self._news: list[str] = []
-        self._news_at = now
-        self._quiet = False
-        self._out: list[RunAction] = []
+        self._next_check_at = now
+        self._new_entries: list[str] = []
+        self._next_announcement_at = now
+        self._shutdown_complete = False
+        self._actions: list[RunAction] = []
         self._now = now
         self._handlers: dict[type, Callable] = {
-            AddressesRead: self._learn,
-            ConfigurationRead: self._read_configuration,
-            EvacuationRead: self._read_evacuation,
+            AddressesRead: self._add_addresses,
+            ConfigurationRead: self._handle_configuration,
+            EvacuationRead: self._handle_evacuation,
             JobSubmitted: self.intake.submit,
             CallerDisconnected: self.intake.lose_caller,
             JobCancelled: self.intake.cancel,
-            StreamOpened: self._open,
-            StreamClosed: self._close,
-            Received: self._receive,
-            StopRequested: self._stop,
-            LagMeasured: self._note_lag,
-            Tick: self._tick,
+            StreamOpened: self._handle_stream_opened,
+            StreamClosed: self._handle_stream_closed,
+            Received: self._handle_message,
+            StopRequested: self._handle_stop_request,
+            LagMeasured: self._handle_lag,
+            Tick: self._handle_tick,
         }
-        self._agent_receivers: dict[type, Callable] = {
+        self._agent_handlers: dict[type, Callable] = {
             RunOutcome: self.dispatcher.hear_outcome,
             RunBegun: self.dispatcher.hear_begun,
             RunSlow: self.dispatcher.hear_slow,
-            Room: self._hear_room,
-            EndpointNews: self._hear_news,
-            Holding: self._hear_holding,
+            Room: self._handle_room,
+            EndpointNews: self._handle_endpoint_news,
+            Holding: self._handle_holding,
             Claimed: self.handover.hear_claimed,
-            Pulse: self._hear_agents_pulse,
-            Probe: self._hear_probe,
+            Pulse: self._handle_agent_heartbeat,
+            Probe: self._handle_probe,
         }
-        self._peer_receivers: dict[type, Callable] = {
-            Pulse: self._hear_pulse,
-            Rules: self._hear_rules,
-            Evacuated: self._hear_evacuated,
-            Peers: self._hear_peers,
+        self._peer_handlers: dict[type, Callable] = {
+            Pulse: self._handle_peer_heartbeat,
+            Rules: self._handle_rules,
+            Evacuated: self._handle_evacuated,
+            Peers: self._handle_peers,
             Took: self.handover.hear_took,
             Yield: self.handover.hear_yield,
             Yielded: self.intake.hear_yielded,
@@ -198,25 +210,25 @@
             Join: self.intake.hear_join,
             Locate: self.handover.whereabouts.hear_locate,
             Located: self.handover.whereabouts.hear_located,
-            Goodbye: self._hear_goodbye,
+            Goodbye: self._handle_goodbye,
             Forward: self.intake.hear_forward,
             Forwarded: self.forwarding.handle_result,
             Withdraw: self.intake.hear_withdraw,
         }
 
     def handle(self, event: object, now: float) -> list[RunAction]:
-        """Take one event and return what has to be done."""
+        """Handle one event and return the actions to perform."""
         self._now = now
-        self._out = []
-        self.dispatcher.begin(now, self._out.append)
-        self.handover.begin(now, self._out.append)
-        self.intake.begin(now, self._out.append)
+        self._actions = []
+        self.dispatcher.begin(now, self._actions.append)
+        self.handover.begin(now, self._actions.append)
+        self.intake.begin(now, self._actions.append)
         if self.links.begin_event(now):
-            self._wake()
+            self._resume_after_pause()
         self._handlers[type(event)](event)
         self.handover.check()
-        self._check_quiet()
-        actions = self.intake.route(self._out)
+        self._check_shutdown()
+        actions = self.intake.route(self._actions)
         self.links.record_sent(actions, now)
         return actions
 
@@ -224,33 +236,33 @@
     def next_wakeup(self) -> float:
         """Time at which a ``Tick`` is next needed."""
         busy = self.intake.busy or self.stopping
-        return min(self.links.next_wakeup(), self._tick_at if busy else math.inf)
+        return min(self.links.next_wakeup(), self._next_check_at if busy else math.inf)
 
     @property
     def sheds_load(self) -> bool:
-        """Whether callers are to be refused before their requests are read."""
+        """Whether callers must be refused before their requests are read."""
         return self.forwarding.sheds_load
 
     @property
     def ready(self) -> bool:
-        """Whether the balancer should send callers here."""
+        """Whether the load balancer should send callers to this entry."""
         return (
             bool(self.routes.version) and self.handover.informed and not self.stopping
         )
 
     def find_queue(self, host: str, path: str) -> QueueRules | None:
-        """Find the queue of a request."""
+        """Return the queue that a request belongs to, or ``None``."""
         return self.routes.find(host, path)
 
     def count_waiting(self, queue: str) -> int:
-        """Count a queue's jobs here of which nothing was sent to an agent."""
+        """Count a queue's jobs at this entry of which no run was sent to an agent."""
         return sum(
             job.queue.name == queue and not job.ran
             for job in self.dispatcher.jobs.values()
         )
 
     def describe(self) -> dict[str, object]:
-        """Describe this entry's state for a status page."""
+        """Return this entry's state for the status page."""
         return {
             "entry": self.identity.process,
             "version": self.routes.version,
@@ -264,84 +276,86 @@
             "peers": [link.hello.process for link in self.links.list_peers()],
         }
 
-    def _note(self, event: str, request: str = "", **fields: object) -> None:
-        self._out.append(LogDecision(event, request, fields))
+    def _log_decision(self, event: str, request: str = "", **fields: object) -> None:
+        self._actions.append(LogDecision(event, request, fields))
 
     def _send(self, stream: int, message: Message) -> None:
-        self._out.append(Send(stream, message))
+        self._actions.append(Send(stream, message))
 
     # Streams
 
-    def _learn(self, event: AddressesRead) -> None:
-        self._news += self.links.addresses.add(event.addresses, self._now)
+    def _add_addresses(self, event: AddressesRead) -> None:
+        self._new_entries += self.links.addresses.add(event.addresses, self._now)
         self._dial()
 
-    def _tell_news(self) -> None:
-        """Tell what entries were learnt of since the last time.
+    def _announce_entries(self) -> None:
+        """Announce the entries that became known since the last announcement.
 
-        Told one by one while all entries start, with all that are known each time,
-        such news grew with the cube of their number.
+        When each new entry was announced at once, along with all known entries, the
+        announcements while all entries start grew with the cube of their number.
         """
-        if not self._news or self._now < self._news_at:
+        if not self._new_entries or self._now < self._next_announcement_at:
             return
-        self._news_at = self._now + ANNOUNCE_ENTRIES_SECONDS
-        news, self._news = Peers(self._news, []), []
+        self._next_announcement_at = self._now + ANNOUNCE_ENTRIES_SECONDS
+        announcement, self._new_entries = Peers(self._new_entries, []), []
         for link in self.links:
-            self._send(link.stream, news)
+            self._send(link.stream, announcement)
 
     def _dial(self) -> None:
-        self._out += [
+        self._actions += [
             Dial(address) for address in self.links.addresses.list_due(self._now)
         ]
 
-    def _open(self, event: StreamOpened) -> None:
+    def _handle_stream_opened(self, event: StreamOpened) -> None:
         hello = event.greeting
         if not isinstance(hello, Hello) or hello.version != PROTOCOL_VERSION:
             self.counts.add("streams_refused", "greeting")
-            self._out.append(CloseStream(event.stream, "unknown greeting"))
+            self._actions.append(CloseStream(event.stream, "unknown greeting"))
             return
         link = self.links.add_stream(event.stream, hello, event.address, self._now)
         if link is None:
-            self._out.append(CloseStream(event.stream, "self"))
+            self._actions.append(CloseStream(event.stream, "self"))
             return
         if not event.address:
             self._send(event.stream, make_hello(self.identity, Role.ENTRY))
-        self._note("stream_opened", role=hello.role, process=hello.process)
+        self._log_decision("stream_opened", role=hello.role, process=hello.process)
         if hello.role == Role.AGENT:
-            self._open_agent(link)
+            self._add_agent(link)
             return
-        self._news += self.links.addresses.add([hello.address], self._now)
+        self._new_entries += self.links.addresses.add([hello.address], self._now)
         self._dial()
         self._send(event.stream, Peers(self.links.addresses.list_known(), []))
         self.handover.regain_peer(link)
-        self._count_entries()
-        # Before the rules, which make the other end ready to place runs.
+        self._update_entry_count()
+        # Before the configuration, after which the other entry places runs.
         self._send_evacuation(event.stream)
-        self._send_rules(event.stream)
+        self._send_configuration(event.stream)
 
-    def _count_entries(self) -> None:
+    def _update_entry_count(self) -> None:
         entries = len(self.links.list_peers()) + 1
         overlap = min(1.0, self._entries_per_agent / entries)
         self.dispatcher.admission.overlap = overlap
 
-    def _open_agent(self, link: Link) -> None:
+    def _add_agent(self, link: Link) -> None:
         hello = link.hello
         fleet = self.dispatcher.fleet
         old = fleet.find(hello.address)
         if old is not None:
-            self._out.append(CloseStream(old.stream, "replaced"))
-            self._close(StreamClosed(old.stream))
+            self._actions.append(CloseStream(old.stream, "replaced"))
+            self._handle_stream_closed(StreamClosed(old.stream))
         view = fleet.add(link, self._now)
         view.evacuated = self.evacuations.covers(view.zone)
         self._send_evacuation(link.stream)
         self._send(link.stream, Peers(self.links.addresses.list_known(), []))
 
-    def _close(self, event: StreamClosed) -> None:
+    def _handle_stream_closed(self, event: StreamClosed) -> None:
         link = self.links.remove_stream(event.stream, event.address, self._now)
         if link is None:
             return
         self.counts.add("streams_lost", link.hello.role)
-        self._note("stream_lost", role=link.hello.role, process=link.hello.process)
+        self._log_decision(
+            "stream_lost", role=link.hello.role, process=link.hello.process
+        )
         view = self.dispatcher.fleet.views.get(event.stream)
         if view is not None:
             self.dispatcher.lose_view(view)
@@ -349,13 +363,16 @@
         self.handover.whereabouts.drop_stream(event.stream)
         if self.links.find(link.hello.incarnation) is None:
             self.handover.lose_peer(link)
-            self._count_entries()
+            self._update_entry_count()
             self.dispatcher.admission.forget(link.hello.incarnation)
         self.intake.drop_stream(event.stream)
         self.handover.drop_stream(event.stream)
 
-    def _wake(self) -> None:
-        """Begin anew after this process has stood still for longer than others wait."""
+    def _resume_after_pause(self) -> None:
+        """Close all streams and end all jobs after a pause of this process.
+
+        The process was paused for longer than other processes wait for it.
+        """
         self.handover.wake()
         for link in self.links:
             self._drop_link(link.stream, "stood_still")
@@ -364,76 +381,76 @@
 
     def _drop_link(self, stream: int, reason: str) -> None:
         self.counts.add("streams_closed", reason)
-        self._out.append(CloseStream(stream, reason))
-        self._close(StreamClosed(stream))
+        self._actions.append(CloseStream(stream, reason))
+        self._handle_stream_closed(StreamClosed(stream))
 
-    def _receive(self, event: Received) -> None:
-        doubted = self.links.has_pending_probe(event.stream)
+    def _handle_message(self, event: Received) -> None:
+        had_pending_probe = self.links.has_pending_probe(event.stream)
         link = self.links.record_frame(event.stream, self._now)
         if link is None:
             self._drop_link(event.stream, "silence")
             return
         view = self.dispatcher.fleet.views.get(event.stream)
-        receivers = self._agent_receivers if view else self._peer_receivers
-        receiver = receivers.get(type(event.message))
-        if receiver is None:
+        handlers = self._agent_handlers if view else self._peer_handlers
+        handler = handlers.get(type(event.message))
+        if handler is None:
             self._drop_link(event.stream, "unexpected message")
             return
         if view is None:
             self.handover.whereabouts.hear_peer(link)
-        receiver(view or link, event.message)
-        if doubted and view is not None:
+        handler(view or link, event.message)
+        if had_pending_probe and view is not None:
             self.dispatcher.dispatch(view.service, view)
 
     # Agents
 
-    def _hear_room(self, view: AgentView, room: Room) -> None:
+    def _handle_room(self, view: AgentView, room: Room) -> None:
         view.hear_room(room)
         self.dispatcher.dispatch(view.service, view)
 
-    def _hear_news(self, view: AgentView, news: EndpointNews) -> None:
+    def _handle_endpoint_news(self, view: AgentView, news: EndpointNews) -> None:
         if view.news is not None and view.news.instance != news.instance:
             view.health.clear()
         self.dispatcher.fleet.hear_news(view, news)
-        self._note("endpoint_news", agent=view.address, open=news.open)
+        self._log_decision("endpoint_news", agent=view.address, open=news.open)
         if news.settled:
             self.dispatcher.settle_agent(view)
         self.dispatcher.dispatch(view.service)
 
-    def _hear_agents_pulse(self, view: AgentView, pulse: Pulse) -> None:
+    def _handle_agent_heartbeat(self, view: AgentView, pulse: Pulse) -> None:
         view.slowness = pulse.slowness
         view.lag = pulse.lag
         view.link.update_clock(pulse.clock, self._now)
 
-    def _hear_probe(self, view: AgentView, probe: Probe) -> None:
+    def _handle_probe(self, view: AgentView, probe: Probe) -> None:
         view.link.update_clock(probe.clock, self._now)
         self._send(view.link.stream, Alive(view.link.estimate_clock(self._now)))
 
-    def _hear_holding(self, view: AgentView, holding: Holding) -> None:
+    def _handle_holding(self, view: AgentView, holding: Holding) -> None:
         view.link.update_clock(holding.clock, self._now)
         self.dispatcher.reconcile(view, holding.tasks)
 
     # Peers
 
-    def _hear_peers(self, link: Link, peers: Peers) -> None:
+    def _handle_peers(self, link: Link, peers: Peers) -> None:
         del link
-        self._learn(AddressesRead(tuple(str(each) for each in peers.entries)))
+        self._add_addresses(AddressesRead(tuple(str(each) for each in peers.entries)))
 
-    def _hear_pulse(self, link: Link, pulse: Pulse) -> None:
+    def _handle_peer_heartbeat(self, link: Link, pulse: Pulse) -> None:
         link.lag = pulse.lag
         link.update_clock(pulse.clock, self._now)
         self.dispatcher.admission.hear(link.hello.incarnation, pulse.backlog)
 
-    def _hear_goodbye(self, link: Link, message: Goodbye) -> None:
+    def _handle_goodbye(self, link: Link, message: Goodbye) -> None:
         del message
         link.leaving = True
 
     # Configuration
 
-    def _read_configuration(self, event: ConfigurationRead) -> None:
+    def _handle_configuration(self, event: ConfigurationRead) -> None:
         self._install(event.configuration, "store")
 
-    def _hear_rules(self, link: Link, rules: Rules) -> None:
+    def _handle_rules(self, link: Link, rules: Rules) -> None:
         queues = tuple(QueueRules(*fields) for fields in rules.queues)
         configuration = Configuration(rules.version, queues, rules.max_body)
         self._install(configuration, link.hello.process)
@@ -442,37 +459,43 @@
         if not self.routes.install(configuration):
             return
         self.counts.add("configurations_installed")
-        self._note("configuration", version=configuration.version, source=source)
+        self._log_decision(
+            "configuration", version=configuration.version, source=source
+        )
         for link in self.links.list_peers():
-            self._send_rules(link.stream)
+            self._send_configuration(link.stream)
 
-    def _send_rules(self, stream: int) -> None:
-        held = self.routes.configuration
-        if held is not None:
-            queues = [list(queue) for queue in held.queues]
-            self._send(stream, Rules(held.version, queues, held.max_body))
+    def _send_configuration(self, stream: int) -> None:
+        configuration = self.routes.configuration
+        if configuration is not None:
+            queues = [list(queue) for queue in configuration.queues]
+            self._send(
+                stream, Rules(configuration.version, queues, configuration.max_body)
+            )
 
     # Evacuated zones
 
-    def _read_evacuation(self, event: EvacuationRead) -> None:
+    def _handle_evacuation(self, event: EvacuationRead) -> None:
         self._install_evacuation(event.evacuation, "store")
 
-    def _hear_evacuated(self, link: Link, message: Evacuated) -> None:
-        told = read_message(message)
-        if self.evacuations.is_outdated(told):
+    def _handle_evacuated(self, link: Link, message: Evacuated) -> None:
+        evacuation = read_message(message)
+        if self.evacuations.is_outdated(evacuation):
             self._send_evacuation(link.stream)
             return
-        self._install_evacuation(told, link.hello.process)
+        self._install_evacuation(evacuation, link.hello.process)
 
-    def _install_evacuation(self, told: Evacuation, source: str) -> None:
-        changed = self.evacuations.install(told)
+    def _install_evacuation(self, evacuation: Evacuation, source: str) -> None:
+        changed = self.evacuations.install(evacuation)
         if changed is None:
             return
-        zones = sorted(told.zones)
-        self._note("evacuation", zones=zones, revision=told.revision, source=source)
+        zones = sorted(evacuation.zones)
+        self._log_decision(
+            "evacuation", zones=zones, revision=evacuation.revision, source=source
+        )
         for link in self.links:
             self._send_evacuation(link.stream)
-        self.dispatcher.evacuate(told.zones, changed)
+        self.dispatcher.evacuate(evacuation.zones, changed)
 
     def _send_evacuation(self, stream: int) -> None:
         if self.evacuations.known:
@@ -480,38 +503,38 @@
 
     # Time
 
-    def _note_lag(self, event: LagMeasured) -> None:
+    def _handle_lag(self, event: LagMeasured) -> None:
         change = self.pressure.observe(event.seconds, self._now)
         if change is not None:
             self.counts.add("pressure_changes", change.event)
-            self._note(change.event, lag=change.lag, s=change.seconds)
+            self._log_decision(change.event, lag=change.lag, s=change.seconds)
 
-    def _tick(self, event: Tick) -> None:
+    def _handle_tick(self, event: Tick) -> None:
         del event
-        self._end_silent()
+        self._close_timed_out()
         self._dial()
-        self._tell_news()
+        self._announce_entries()
         for link in self.links.list_due_heartbeats(self._now):
             self._send(link.stream, Alive(link.estimate_clock(self._now)))
         peers = self.links.list_due_peer_heartbeats(self._now)
         if peers:
-            self._tell_peers(peers)
-        if self._now >= self._tick_at:
-            self._tick_at = self._now + DEADLINE_CHECK_SECONDS
+            self._send_peer_heartbeats(peers)
+        if self._now >= self._next_check_at:
+            self._next_check_at = self._now + DEADLINE_CHECK_SECONDS
             self.forwarding.give_up_expired()
             self.handover.give_up_expired()
             self.handover.start_delayed()
             self.dispatcher.check_times()
 
-    def _end_silent(self) -> None:
-        silent = self.links.list_timed_out(self._now)
-        for link in silent:
+    def _close_timed_out(self) -> None:
+        timed_out = self.links.list_timed_out(self._now)
+        for link in timed_out:
             self._drop_link(link.stream, "silence")
-        for link in self.links.start_probes(self._now) if silent else ():
+        for link in self.links.start_probes(self._now) if timed_out else ():
             self.counts.add("streams_probed")
             self._send(link.stream, Probe(self._now))
 
-    def _tell_peers(self, peers: list[Link]) -> None:
+    def _send_peer_heartbeats(self, peers: list[Link]) -> None:
         serves = self.ready and self.dispatcher.fleet.has_open
         lag = self.pressure.mean if serves else math.inf
         pulse = Pulse(self.dispatcher.measure_backlog(), 1.0, self._now, lag)
@@ -519,34 +542,34 @@
         for link in peers:
             self._send(link.stream, pulse)
 
-    def _stop(self, event: StopRequested) -> None:
+    def _handle_stop_request(self, event: StopRequested) -> None:
         del event
         self.stopping = True
         self._stopped_at = self._now
         self.dispatcher.ends_at = self._now + STOP_SECONDS
-        self._note("stopping", jobs=len(self.dispatcher.jobs))
+        self._log_decision("stopping", jobs=len(self.dispatcher.jobs))
 
-    def _end_jobs(self) -> None:
-        # Whoever isn't answered now would see its connection cut.
+    def _end_all_jobs(self) -> None:
+        # Callers that are not answered now would see their connections cut.
         self.handover.refuse_all("stopping")
         self.forwarding.give_up_all("stopping")
         for job in list(self.dispatcher.jobs.values()):
             self.dispatcher.give_up(job, "stopping")
 
-    def _check_quiet(self) -> None:
-        if not self.stopping or self._quiet:
+    def _check_shutdown(self) -> None:
+        if not self.stopping or self._shutdown_complete:
             return
         if self._now >= self.dispatcher.ends_at:
-            self._end_jobs()
-            self._quiet = True
+            self._end_all_jobs()
+            self._shutdown_complete = True
         elif self._now >= self._stopped_at + UNREADY_SECONDS:
-            self._quiet = not self.intake.busy
-        if self._quiet:
+            self._shutdown_complete = not self.intake.busy
+        if self._shutdown_complete:
             self.handover.leave()
             for link in self.links.list_peers():
-                # Nothing of this entry's jobs is left; its end is no reason to
-                # look for any.
+                # No run of this entry's jobs is left, so that other entries need not
+                # search for any when this process ends.
                 self._send(link.stream, Goodbye("stopping"))
-            # What still arrives is refused, so that nothing is taken and cut.
+            # Refuses jobs that still arrive, as they would be cut off.
             self.dispatcher.ends_at = self._now
-            self._out.append(ShutdownComplete())
+            self._actions.append(ShutdownComplete())
--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -249,7 +249,7 @@
     Break(
         "an entry that wakes up goes on as before",
         f"{LEASED}/entry.py",
-        "            self._wake()",
+        "            self._resume_after_pause()",
         "            pass",
         f"{RUNS}/test_takeovers.py::"
         "test_an_entry_that_wakes_up_starts_nothing_before_it_has_heard_others",
@@ -528,7 +528,7 @@
     Break(
         "new streams are not told what is evacuated",
         f"{LEASED}/entry.py",
-        "        # Before the rules, which make the other end ready to place runs.\n"
+        "        # Before the configuration, after which the other entry places runs.\n"
         "        self._send_evacuation(event.stream)\n",
         "",
         f"{RUNS}/test_evacuation.py::"
