--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -221,22 +221,21 @@
         f"{LEASED}/links.py",
         "if link is None or self._is_timed_out(link, now):",
         "if link is None:",
-        f"{RUNS}/test_links.py::test_what_a_cut_held_up_is_not_acted_on",
+        f"{RUNS}/test_links.py::test_frames_delayed_by_a_network_cut_are_rejected",
     ),
     Break(
         "a process doesn't notice that it stood still",
         f"{LEASED}/links.py",
         "        return was_paused",
         "        return False",
-        f"{RUNS}/test_links.py::test_a_process_that_stood_still_gives_up_all_streams",
+        f"{RUNS}/test_links.py::test_paused_process_closes_all_streams",
     ),
     Break(
         "orders of any age are carried out",
         f"{LEASED}/runner.py",
         "if self._now - order.sent_at > ORDER_SECONDS:",
         "if False:",
-        f"{RUNS}/test_partial_mesh.py::"
-        "test_an_order_older_than_its_entrys_patience_starts_nothing",
+        f"{RUNS}/test_partial_mesh.py::test_outdated_start_order_is_ignored",
     ),
     Break(
         "leases are granted however long ago entries lived",
@@ -313,21 +312,21 @@
         f"{LEASED}/handover.py",
         "            self.whereabouts.ask(link.hello.address, owner)",
         "            pass",
-        f"{RUNS}/test_partial_mesh.py::test_a_job_moves_past_a_cut_between_two_entries",
+        f"{RUNS}/test_partial_mesh.py::test_job_moves_between_two_entries_that_cannot_reach_each_other",
     ),
     Break(
         "what a cut-off entry takes isn't passed on",
         f"{LEASED}/whereabouts.py",
         "            self._send(stream, Took(message.jobs, message.ages, owner))",
         "            pass",
-        f"{RUNS}/test_partial_mesh.py::test_a_job_moves_past_a_cut_between_two_entries",
+        f"{RUNS}/test_partial_mesh.py::test_job_moves_between_two_entries_that_cannot_reach_each_other",
     ),
     Break(
         "streams move with runs on them",
         f"{LEASED}/moves.py",
         "            idle = link.hello.incarnation not in owners",
         "            idle = True",
-        f"{RUNS}/test_partial_mesh.py::test_a_stream_that_moves_cuts_no_run",
+        f"{RUNS}/test_partial_mesh.py::test_moving_a_stream_interrupts_no_run",
     ),
     Break(
         "runs out of reach are started elsewhere at once",
@@ -343,7 +342,7 @@
         '            self._out(Send(link.stream, Took([name], [0.0], "")))',
         "            pass",
         f"{RUNS}/test_partial_mesh.py::"
-        "test_a_job_whose_home_is_lost_is_known_by_what_its_entry_has_told",
+        "test_owner_of_a_job_is_known_after_the_loss_of_its_home",
     ),
     Break(
         "late peers are not told what was taken",
@@ -351,7 +350,7 @@
         "        self._tellings.tell_all(link.stream, self._list_taken(), self._now)",
         "        pass",
         f"{RUNS}/test_partial_mesh.py::"
-        "test_a_job_whose_home_is_lost_is_known_by_what_its_entry_has_told",
+        "test_owner_of_a_job_is_known_after_the_loss_of_its_home",
     ),
     Break(
         "no claims while a peer is missing",
@@ -382,15 +381,14 @@
         f"{LEASED}/routes.py",
         "if self.configuration and configuration.version <= self.version:",
         "if False:",
-        f"{RUNS}/test_entry.py::test_an_older_configuration_is_never_put_in_force",
+        f"{RUNS}/test_entry.py::test_older_configuration_is_never_installed",
     ),
     Break(
         "a stopping entry takes all that comes",
         f"{LEASED}/dispatcher.py",
         "if self._now + job.objective > self.ends_at:",
         "if False:",
-        f"{RUNS}/test_entry.py::"
-        "test_a_stopping_entry_takes_nothing_that_would_outlive_it",
+        f"{RUNS}/test_entry.py::test_stopping_entry_refuses_jobs_that_it_cannot_finish",
     ),
     Break(
         "failing endpoints stay in rotation",
@@ -475,8 +473,7 @@
         "        for gone in self._adoption.drop_stream(stream):\n"
         "            self.lose_caller(gone)\n",
         "",
-        f"{RUNS}/test_forwarding.py::"
-        "test_runs_end_when_the_entry_that_the_caller_came_to_is_lost",
+        f"{RUNS}/test_forwarding.py::test_runs_end_when_the_forwarding_entry_is_lost",
     ),
     Break(
         "jobs handed on are not withdrawn",
@@ -484,7 +481,7 @@
         "            self._emit(Send(forwarded.stream, Withdraw(job)))\n",
         "",
         f"{RUNS}/test_forwarding.py::"
-        "test_a_job_handed_on_is_given_up_when_its_caller_hangs_up",
+        "test_forwarded_job_is_given_up_when_its_caller_disconnects",
     ),
     Break(
         "callers wait for an entry that is lost",
@@ -492,7 +489,7 @@
         '                self._give_up(job, "cut_off")',
         "                pass",
         f"{RUNS}/test_forwarding.py::"
-        "test_callers_are_answered_when_the_entry_that_serves_them_is_lost",
+        "test_callers_are_answered_when_the_serving_entry_is_lost",
     ),
     Break(
         "evacuated zones are known and used",
--- a/tests/core/runs/test_delays.py
+++ b/tests/core/runs/test_delays.py
@@ -1,4 +1,4 @@
-"""Jobs that wait until agents have said that others' runs of them are over."""
+"""Jobs that wait until agents confirm that other entries' runs of them have ended."""
 
 from godwitbank._internal.core.runs.delays import DelayedJob
 from godwitbank._internal.core.runs.lease import LAPSE_SECONDS
@@ -12,7 +12,7 @@
 
 
 def make_links() -> dict[int, Link]:
-    """Make streams to two agents."""
+    """Return links to two agents, by stream."""
     hello = Hello(1, Role.AGENT, "agent", "agent#1", "agent", "zone-1")
     return {stream: Link(stream, hello, "", NOW) for stream in STREAMS}
 
@@ -24,13 +24,13 @@
     return delayed
 
 
-def test_all_agents_must_have_answered() -> None:
+def test_claim_is_complete_after_all_agents_answered() -> None:
     delayed = make_delayed()
     assert not delayed.handle_claimed(1, all_stopped=True)
     assert delayed.handle_claimed(2, all_stopped=True)
 
 
-def test_an_agent_that_stops_runs_is_waited_for() -> None:
+def test_job_waits_for_an_agent_that_is_stopping_runs() -> None:
     delayed = make_delayed()
     delayed.handle_claimed(1, all_stopped=False)
     delayed.handle_claimed(2, all_stopped=True)
@@ -38,7 +38,7 @@
     assert delayed.handle_claimed(1, all_stopped=True)
 
 
-def test_the_leases_of_an_agent_that_was_lost_while_it_stopped_runs_end() -> None:
+def test_job_waits_for_leases_of_an_agent_lost_while_stopping_runs() -> None:
     delayed = make_delayed()
     delayed.handle_claimed(1, all_stopped=False)
     links = make_links()
@@ -48,7 +48,7 @@
     assert delayed.may_start(links, delayed.start_at, expects_answers=False)
 
 
-def test_the_leases_of_an_agent_that_was_lost_before_it_answered_end() -> None:
+def test_job_waits_for_leases_of_an_agent_lost_before_it_answered() -> None:
     delayed = make_delayed()
     links = make_links()
     del links[1]
@@ -56,7 +56,7 @@
     assert delayed.start_at == NOW + 0.7 + LAPSE_SECONDS
 
 
-def test_a_silent_agent_is_waited_for_while_a_lost_entry_may_live() -> None:
+def test_job_waits_for_an_unresponsive_agent_while_a_lost_entry_may_be_alive() -> None:
     delayed = make_delayed()
     links = make_links()
     assert not delayed.may_start(
--- a/tests/core/runs/test_entry.py
+++ b/tests/core/runs/test_entry.py
@@ -1,4 +1,4 @@
-"""An entry's stop, its configuration, and what it tells callers."""
+"""Shutdown of an entry, its configuration, and its answers to callers."""
 
 from godwitbank._internal.core.runs.events import ConfigurationRead
 from godwitbank._internal.models.jobs import Configuration
@@ -6,7 +6,7 @@
 from tests.lib.runs_world import QUEUE, make_job
 
 
-def test_a_stopping_entry_finishes_what_it_took() -> None:
+def test_stopping_entry_finishes_accepted_jobs() -> None:
     world = make_world()
     world.submit("entry-0", make_job("j1", width=4, seconds=3.0))
     world.run(0.1)
@@ -16,10 +16,10 @@
     assert "entry-0" in world.quiet
 
 
-def test_a_stopping_entry_takes_nothing_that_would_outlive_it() -> None:
-    # Symptom: a connection ends without an answer. Sequence: SIGTERM; seconds
-    # later a request comes on a connection kept open; the process ends first.
-    # Cause: a process that ends soon took work as if it lived on.
+def test_stopping_entry_refuses_jobs_that_it_cannot_finish() -> None:
+    # Guards against a connection that is closed without an answer: seconds after
+    # SIGTERM a request arrives on a kept-alive connection, and the process exits before
+    # the job is done. A process that exits soon must not accept such a job.
     world = make_world()
     world.submit("entry-0", make_job("old", width=4, seconds=4.0))
     world.run(0.1)
@@ -33,8 +33,8 @@
     assert not world.results["long"][0].ran
 
 
-def test_everybody_is_answered_before_a_stopping_entry_is_quiet() -> None:
-    # Symptom and cause as above, for work that takes longer than expected.
+def test_all_callers_are_answered_before_shutdown_completes() -> None:
+    # Guards against the same failure for a job that takes longer than expected.
     world = make_world()
     world.submit("entry-0", make_job("slow", width=4, seconds=9.0))
     world.run(0.1)
@@ -47,9 +47,9 @@
     assert world.get_ends("after") == ["refused"]
 
 
-def test_a_configuration_reaches_entries_that_the_store_turns_away() -> None:
-    # Symptom: an entry serves an old configuration. Sequence: the store answers
-    # one entry only. Cause: configuration came from the store alone.
+def test_configuration_reaches_entries_that_cannot_read_the_store() -> None:
+    # Guards against an entry that serves an old configuration while the store answers
+    # another entry only. Entries must also send the configuration to each other.
     world = make_world()
     newer = Configuration(7, (QUEUE._replace(prefix="/new/"),), 10**6)
     world.processes["entry-0"].give(ConfigurationRead(newer))
@@ -60,9 +60,9 @@
     assert core.find_queue("desk", "/new/x") is not None
 
 
-def test_an_older_configuration_is_never_put_in_force() -> None:
-    # Symptom: a configuration reverts. Sequence: a delayed read of an older
-    # version arrives after a newer one. Cause: the last arrival won.
+def test_older_configuration_is_never_installed() -> None:
+    # Guards against a configuration that reverts when a delayed read of an older
+    # version arrives after a newer version.
     world = make_world()
     core = world.processes["entry-0"].core
     newer = Configuration(7, (QUEUE,), 10**6)
@@ -71,14 +71,14 @@
     assert core.routes.version == 7
 
 
-def test_a_new_entry_is_found_through_another() -> None:
+def test_new_entry_is_announced_to_agents_by_another_entry() -> None:
     world = make_world(entries=1)
     entry = world.add_entry("entry-new")
     world.run(1.0)
     assert len(entry.core.dispatcher.fleet.views) == 3
 
 
-def test_the_longest_prefix_wins() -> None:
+def test_longest_matching_prefix_selects_the_queue() -> None:
     world = make_world(entries=1)
     core = world.processes["entry-0"].core
     inner = QUEUE._replace(name="inner", prefix="/checks/inner/")
--- a/tests/core/runs/test_exploration.py
+++ b/tests/core/runs/test_exploration.py
@@ -1,8 +1,8 @@
-"""Random faults, alone and together, against what must never happen.
+"""Random faults, alone and combined, that must never violate the invariants.
 
 ``RunsWorld`` checks after every step that no task runs twice at the same time
-and that no endpoint is over its capacity. At the end, with all faults over,
-jobs must be served again. A seed that ever failed is kept in one of the
+and that no endpoint exceeds its capacity. At the end, when all faults are over,
+jobs must be served again. Each seed that ever failed is kept in one of the
 ``REGRESSION_SEEDS`` tuples.
 """
 
@@ -18,64 +18,65 @@
 from tests.lib.runs_world import Process, RunsWorld, make_job
 
 REGRESSION_SEEDS_IMPATIENT = (
-    # An entry started, or reconnected, while a job was in flight elsewhere didn't
-    # know of it, and took the job when its caller submitted it again.
+    # An entry that started or reconnected while a job was in flight elsewhere did not
+    # know of the job, and accepted it when its caller submitted it again.
     9,
     26,
     32,
     35,
     36,
     184,
-    # An entry that had just started took a job whose entry was frozen.
+    # An entry that had just started accepted a job whose entry was suspended.
     458,
-    # An entry that waited for a third one to be gone let a second one start.
+    # An entry that waited until a third entry counted as lost let a second one start.
     354,
-    # Two entries that couldn't reach each other had the same job.
+    # Two entries that could not reach each other had accepted the same job.
     27,
     228,
 )
-"""Seeds of the impatient exploration that once failed, with their cause."""
+"""Seeds of the exploration with impatient callers that once failed, with the cause."""
 
 REGRESSION_SEEDS = (
-    # Within a second: a caller's connection breaks unnoticed, the agent of one of
-    # its runs is killed, and its entry is killed and back at once. The new process
-    # took the job again while the run lived on under the killed agent's lease.
+    # Within a second, a caller's connection breaks unnoticed, the agent of one of its
+    # runs is killed, and its entry is killed and restarts at once. The new process
+    # accepted the job again while the run continued under the killed agent's lease.
     320,
-    # An entry that had been suspended started its job again before it had heard that
-    # another one had taken it meanwhile.
+    # An entry that had been suspended started its job again before it was informed that
+    # another entry had accepted the job meanwhile.
     20327,
-    # Two entries were started and waited for each other with the same job.
+    # Two entries started, got the same job, and waited for each other.
     30019,
-    # The one that knew who had a job forgot it when a new entry told of the job.
+    # The entry that knew a job's owner forgot it when a new entry announced the job.
     50291,
-    # A caller whose connection was broken twice submits its job to two entries within
-    # 0.1 s, which were cut off from each other just before and haven't noticed yet.
+    # A caller whose connection broke twice submits its job to two entries within 0.1 s.
+    # The entries were cut off from each other just before, and have not detected it.
     60131,
 )
 """Seeds of the exploration with patient callers that once failed, with their cause."""
 
 REGRESSION_SEEDS_PARTIAL_MESH = (
-    # An entry loses its power, the one that knew of its job a moment later, and an
-    # agent that runs the job is killed just before it notices. The entries left were
-    # started afterwards; for them the first one is gone, and the job starts at once.
-    # Runs lived on for as long as their agent had granted, not for as long as their
-    # entry was known to have lived.
+    # An entry loses power, so does the entry that knew of its job a moment later, and
+    # an agent that runs the job is killed just before it detects the loss. The other
+    # entries started afterwards; to them the first one is lost, and the job starts at
+    # once. Runs continued for as long as their agent had granted a lease, not for as
+    # long after their entry was last known to be alive.
     8143,
 )
-"""Seeds of the exploration in a wide fleet that once failed, with their cause."""
+"""Seeds of the exploration in a partial mesh that once failed, with their cause."""
 
 REGRESSION_SEEDS_LAGGING = (
-    # Within half a second an entry wakes up after two seconds, is cut off from one
-    # agent, and the entry that took the job meanwhile loses its power. The first one
-    # starts the job when the agents that it reaches have answered its claim; it runs on
-    # at the one that it doesn't. Nothing of it was handed on.
+    # Within half a second, an entry resumes after being suspended for two seconds and
+    # is cut off from one agent, and the entry that accepted the job meanwhile loses
+    # power. The first entry starts the job when the agents that it reaches have
+    # answered its claim, while the job still runs at the agent that it can't reach. The
+    # job was never forwarded.
     198,
 )
-"""Seeds of the exploration with entries that are late that once failed."""
+"""Seeds of the exploration with lagging entries that once failed, with their cause."""
 
 SEEDS = range(40)
 MIN_FORWARDED_PER_SEED = 10 / 3
-"""Jobs that a seed of the exploration with late entries hands on at the least."""
+"""Least mean number of jobs that are forwarded in one run with lagging entries."""
 
 ENTRIES = ("entry-0", "entry-1", "entry-2")
 AGENTS = ("agent-0", "agent-1", "agent-2", "agent-3")
@@ -83,7 +84,7 @@
 
 
 class Size(NamedTuple):
-    """A deployment to explore.
+    """Size of a deployment to explore.
 
     :param entries_per_agent: entries that each agent keeps a stream to.
     """
@@ -99,18 +100,19 @@
     tuple(f"agent-{number}" for number in range(12)),
     2,
 )
-"""More entries than an agent meets, so that no entry reaches all agents."""
+"""More entries than an agent connects to, so that no entry reaches all agents."""
 
 RESUBMIT_SECONDS = 1.3
-"""Time after a broken connection at which callers submit again (users' figure).
+"""Seconds after a broken connection at which callers submit again, as users state.
 
-Submitting earlier, at random, found seeds 18 and 22: a job came again 0.9 s after
-its entry had been killed, which the users' callers don't do.
+Submitting again earlier, at random times, made seeds 18 and 22 fail: a job was
+submitted again 0.9 s after its entry had been killed, which the users' callers don't
+do.
 """
 
 
 class SubmittedJob(NamedTuple):
-    """A job, the entry its caller came to, and the caller's number there."""
+    """A submitted job, with its entry and the number of its caller at that entry."""
 
     entry: str
     caller: int
@@ -118,10 +120,10 @@
 
 
 class Explorer:
-    """Brings random faults and submissions upon a world.
+    """Applies random faults and submissions to a ``RunsWorld``.
 
-    :param impatient: callers submit again at any time, not 1.3 s after their
-        connection broke.
+    :param impatient: whether callers submit again at any time, instead of
+        ``RESUBMIT_SECONDS`` after their connection broke.
     """
 
     def __init__(
@@ -159,12 +161,12 @@
         )
 
     def step(self) -> None:
-        """Do one random thing and let a little time pass."""
+        """Perform one random action and advance the time a little."""
         self.rng.choice(self.list_actions())()
         self.world.run(self.rng.choice((0.01, 0.05, 0.2, 0.5)))
 
     def list_actions(self) -> list[Callable[[], None]]:
-        """List what may happen, the more often the likelier."""
+        """List the possible actions; those listed several times are more likely."""
         return [self.submit] * 6 + [
             self.resubmit_any if self.impatient else self.resubmit,
             self.kill_agent,
@@ -179,13 +181,13 @@
         ]
 
     def _pick_running(self, names: tuple[str, ...]) -> str | None:
-        live = [
+        running = [
             name
             for name in names
             if not self.world.processes[name].dead
             and not self.world.processes[name].frozen
         ]
-        return self.rng.choice(live) if live else None
+        return self.rng.choice(running) if running else None
 
     def submit(self) -> None:
         """Submit a new job."""
@@ -195,21 +197,21 @@
             width = self.rng.choice((1, 2, 8, 16))
             seconds = self.rng.choice((0.1, 0.4, 1.8))
             job = make_job(f"j{self.submitted}", width, seconds)
-            patience = self.rng.choice((2.0, 5.0))
-            caller = self.world.submit(entry, job, patience)
+            timeout_seconds = self.rng.choice((2.0, 5.0))
+            caller = self.world.submit(entry, job, timeout_seconds)
             self.submissions.append(SubmittedJob(entry, caller, job.job))
 
     def resubmit_any(self) -> None:
-        """Submit one of the last jobs again, whatever has become of it."""
+        """Submit one of the last jobs again, whatever its state is."""
         if not self.submitted:
             return
         number = self.rng.randint(max(1, self.submitted - 5), self.submitted)
         self._schedule_resubmit(f"j{number}")
 
     def resubmit(self) -> None:
-        """Break a caller's connection; it submits again 1.3 s later, anywhere.
+        """Break a caller's connection, after which it submits again at any entry.
 
-        The entry may not notice that the connection broke.
+        The entry may not detect that the connection broke.
         """
         name = self._pick_running(self.entries)
         if name is None:
@@ -224,12 +226,12 @@
     def _schedule_resubmit(self, name: str) -> None:
         spec = self.world.specs[name]
 
-        def again() -> None:
+        def resubmit() -> None:
             entry = self._pick_running(self.entries)
             if entry is not None:
                 self.world.submit(entry, spec)
 
-        self.world.after(RESUBMIT_SECONDS, again)
+        self.world.after(RESUBMIT_SECONDS, resubmit)
 
     def kill_agent(self) -> None:
         """Kill an agent and start it again."""
@@ -241,7 +243,7 @@
     def _start_agent(self, name: str) -> None:
         process = self.world.add_agent(name)
         if len(self.entries) > self.world.entries_per_agent:
-            # As settings name entries, whether they live or not.
+            # Settings list all entries, whether they are alive or not.
             process.give(AddressesRead(self.entries))
 
     def kill_entry(self) -> None:
@@ -255,14 +257,14 @@
             self.world.after(0.7, lambda: self._start_entry(name))
 
     def cut_entry_power(self) -> None:
-        """Take an entry's power and start it again."""
+        """Cut an entry's power and start it again later."""
         name = self._pick_running(self.entries)
         if name is not None:
             self.world.darken(name)
             self.world.after(3.0, lambda: self._start_entry(name))
 
     def stop_entry(self) -> None:
-        """Stop an entry in an orderly way and start it again."""
+        """Stop an entry gracefully and start it again."""
         name = self._pick_running(self.entries)
         if name is not None:
             self.world.stop(name)
@@ -291,25 +293,25 @@
             self.world.thaw(name)
 
     def cut(self) -> None:
-        """Cut a link for a while."""
-        one, other = self.rng.sample(self.entries + self.agents, 2)
-        self.world.cut_link(one, other)
+        """Cut the network link between two processes for a while."""
+        first, second = self.rng.sample(self.entries + self.agents, 2)
+        self.world.cut_link(first, second)
         self.world.after(self.rng.choice((0.4, 2.0, 4.0)), self.world.heal)
 
     def crash_endpoint(self) -> None:
-        """Crash an endpoint; another boot comes later."""
+        """Crash an endpoint; it boots again later."""
         name = self.rng.choice(self.agents)
         if self.world.endpoints[name] is None:
             return
         self.world.crash_endpoint(name)
-        self.world.after(self.rng.choice((0.1, 2.0)), lambda: self._boot(name))
+        self.world.after(self.rng.choice((0.1, 2.0)), lambda: self._boot_endpoint(name))
 
-    def _boot(self, name: str) -> None:
+    def _boot_endpoint(self, name: str) -> None:
         if self.world.endpoints[name] is None:
             self.world.boot_endpoint(name)
 
     def degrade_endpoint(self) -> None:
-        """Let an endpoint fail, hang or be slow for a while."""
+        """Make an endpoint fail, hang, slow or unhealthy for a while."""
         endpoint = self.world.endpoints[self.rng.choice(self.agents)]
         if endpoint is None:
             return
@@ -346,25 +348,28 @@
                 )
                 start(name)
         for name in self.agents:
-            # As the store names entries, also those that an agent that was started
-            # while all of them were gone has never met.
+            # The store lists all entries, also to an agent that started while all of
+            # them were down and knows none.
             self.world.processes[name].give(AddressesRead(self.entries))
         self.world.run(8.0)
 
 
 class LaggingExplorer(Explorer):
-    """Explores entries that are short of processor time now and then.
+    """Explores entries that are temporarily short of processor time.
 
-    They hand jobs on to others, which serve them while callers, entries and the streams
-    between them come and go.
+    They forward jobs to other entries, while callers, entries and the streams between
+    them are lost and come back.
     """
 
     def list_actions(self) -> list[Callable[[], None]]:
-        """List what may happen."""
+        """List the possible actions, including event loop lag."""
         return [*super().list_actions(), *[self.add_lag] * 5]
 
     def add_lag(self) -> None:
-        """Let an entry be late for a while, so much that it hands on or refuses."""
+        """Raise an entry's event loop lag for a while.
+
+        The lag is so high that the entry forwards or refuses jobs.
+        """
         name = self._pick_running(self.entries)
         if name is None:
             return
@@ -379,34 +384,35 @@
             process.give(LagMeasured(0.0))
 
     def _start_entry(self, name: str) -> None:
-        # As the settings and the store name entries, whether they live or not: one that
-        # knew of the living only took a job whose entry had died a moment before.
+        # Settings and the store list all entries, whether they are alive or not. An
+        # entry that knew only the live ones accepted a job whose entry had died just
+        # before.
         super()._start_entry(name)
         self.world.processes[name].give(AddressesRead(self.entries))
 
-    def _list_waiting(self, entry: str) -> list[SubmittedJob]:
+    def _list_unanswered(self, entry: str) -> list[SubmittedJob]:
         return [
-            asked
-            for asked in self.submissions
-            if asked.entry == entry and not self.world.results[asked.job]
+            submission
+            for submission in self.submissions
+            if submission.entry == entry and not self.world.results[submission.job]
         ]
 
     def resubmit(self) -> None:
-        """Break the connection of a caller, whoever serves its job."""
+        """Break the connection of a caller, whichever entry serves its job."""
         name = self._pick_running(self.entries)
-        waiting = self._list_waiting(name) if name else []
-        if waiting:
-            asked = self.rng.choice(waiting)
+        unanswered = self._list_unanswered(name) if name else []
+        if unanswered:
+            submission = self.rng.choice(unanswered)
             if self.rng.random() < 0.5:
-                self.world.hang_up(asked.entry, asked.caller)
-            self._schedule_resubmit(asked.job)
+                self.world.hang_up(submission.entry, submission.caller)
+            self._schedule_resubmit(submission.job)
 
     def kill_entry(self) -> None:
-        """Kill an entry; its callers come again, also those of jobs handed on."""
+        """Kill an entry; its callers submit again, also those of forwarded jobs."""
         name = self._pick_running(self.entries)
         if name is not None:
-            for asked in self._list_waiting(name):
-                self._schedule_resubmit(asked.job)
+            for submission in self._list_unanswered(name):
+                self._schedule_resubmit(submission.job)
             self.world.kill(name)
             self.world.after(0.7, lambda: self._start_entry(name))
 
@@ -419,7 +425,7 @@
 
 
 def explore(explorer: Explorer) -> None:
-    """Play faults, let them end, and see that jobs are served again."""
+    """Apply faults, end them, and check that jobs are served again."""
     for _ in range(STEPS):
         explorer.step()
     explorer.end_faults()
@@ -431,21 +437,21 @@
 
 
 @pytest.mark.parametrize("seed", [*SEEDS, *REGRESSION_SEEDS])
-def test_nothing_runs_twice_at_once_under_random_faults(seed: int) -> None:
+def test_no_task_runs_twice_at_once_under_random_faults(seed: int) -> None:
     explore(Explorer(seed))
 
 
 @pytest.mark.parametrize("seed", [*SEEDS, *REGRESSION_SEEDS_PARTIAL_MESH])
-def test_nothing_runs_twice_where_agents_meet_some_entries_only(seed: int) -> None:
+def test_no_task_runs_twice_at_once_in_a_partial_mesh(seed: int) -> None:
     explore(Explorer(seed, size=PARTIAL_MESH))
 
 
 @pytest.mark.parametrize("seed", [*SEEDS, *REGRESSION_SEEDS_LAGGING])
-def test_nothing_runs_twice_while_jobs_are_handed_on(seed: int) -> None:
+def test_no_task_runs_twice_while_jobs_are_forwarded(seed: int) -> None:
     explore(LaggingExplorer(seed))
 
 
-def test_exploration_hands_jobs_on() -> None:
+def test_exploration_forwards_jobs() -> None:
     events = []
     for seed in SEEDS:
         explorer = LaggingExplorer(seed)
@@ -456,12 +462,14 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_nothing_runs_twice_while_jobs_are_handed_on_in_a_wide_fleet(seed: int) -> None:
+def test_no_task_runs_twice_while_jobs_are_forwarded_in_a_partial_mesh(
+    seed: int,
+) -> None:
     explore(LaggingExplorer(seed, size=PARTIAL_MESH))
 
 
 @pytest.mark.parametrize("seed", REGRESSION_SEEDS_IMPATIENT)
-def test_what_was_found_with_impatient_callers_stays_mended(seed: int) -> None:
+def test_regression_seeds_with_impatient_callers(seed: int) -> None:
     explore(Explorer(seed, impatient=True))
 
 
@@ -474,7 +482,7 @@
     ],
     ids=["long", "short"],
 )
-def test_nothing_runs_twice_where_leases_and_reports_are_longer_or_shorter(
+def test_no_task_runs_twice_with_longer_or_shorter_leases_and_reports(
     deployment: Deployment, seed: int
 ) -> None:
     explore(Explorer(seed, deployment=deployment))
--- a/tests/core/runs/test_forwarding.py
+++ b/tests/core/runs/test_forwarding.py
@@ -1,4 +1,4 @@
-"""Jobs that an entry without processor time hands on to another."""
+"""Jobs that an overloaded entry forwards to another entry."""
 
 from godwitbank._internal.core.runs.events import (
     ConfigurationRead,
@@ -12,21 +12,21 @@
 
 ENTRIES = ("entry-0", "entry-1")
 
-LATE = 0.02
-"""Seconds of lateness at which an entry hands jobs on, but refuses none."""
+LAG_SECONDS = 0.02
+"""Event loop lag in seconds at which an entry forwards jobs, but refuses none."""
 
 
-def make_pressed_world(entries: int = 2) -> RunsWorld:
-    """Make a deployment whose first entry is late."""
+def make_lagging_world(entries: int = 2) -> RunsWorld:
+    """Make a deployment whose first entry has a high event loop lag."""
     world = make_world(entries=entries)
     for _ in range(8):
-        world.processes["entry-0"].give(LagMeasured(LATE))
+        world.processes["entry-0"].give(LagMeasured(LAG_SECONDS))
         world.run(0.025)
     return world
 
 
 def find_server(world: RunsWorld, job: str) -> str:
-    """Find the entry that serves a job."""
+    """Return the entry that serves a job."""
     return next(
         name
         for name, process in world.processes.items()
@@ -35,15 +35,15 @@
 
 
 def count_alive(world: RunsWorld) -> int:
-    """Count the runs that are alive at endpoints."""
+    """Count the runs in progress at endpoints."""
     endpoints = [each for each in world.endpoints.values() if each is not None]
     for endpoint in endpoints:
         endpoint.advance(world.now)
     return sum(len(endpoint.alive) for endpoint in endpoints)
 
 
-def test_a_job_handed_on_is_served_and_answered() -> None:
-    world = make_pressed_world()
+def test_forwarded_job_is_served_and_answered() -> None:
+    world = make_lagging_world()
     world.submit("entry-0", make_job("j1", width=4, seconds=0.2))
     world.run(0.1)
     assert find_server(world, "j1") == "entry-1"
@@ -51,10 +51,10 @@
     assert world.get_ends("j1") == ["completed"]
 
 
-def test_a_job_is_not_handed_on_twice() -> None:
-    world = make_pressed_world()
+def test_job_is_not_forwarded_twice() -> None:
+    world = make_lagging_world()
     for _ in range(8):
-        world.processes["entry-1"].give(LagMeasured(LATE))
+        world.processes["entry-1"].give(LagMeasured(LAG_SECONDS))
         world.run(0.001)
     world.submit("entry-0", make_job("j1", seconds=0.2))
     world.run(0.5)
@@ -63,8 +63,8 @@
     assert len(sent) <= 1
 
 
-def test_a_caller_who_comes_again_waits_for_the_job_handed_on() -> None:
-    world = make_pressed_world()
+def test_caller_that_submits_again_joins_the_forwarded_job() -> None:
+    world = make_lagging_world()
     job = make_job("j1", seconds=0.5)
     first = world.submit("entry-0", job)
     world.run(0.1)
@@ -75,10 +75,11 @@
     assert world.get_ends("j1") == ["completed"]
 
 
-def test_a_job_handed_on_is_given_up_when_its_caller_hangs_up() -> None:
-    # Symptom: endpoints are busy with what nobody waits for. Sequence: an entry hands a
-    # job on; its caller hangs up. Cause: the other entry was not told.
-    world = make_pressed_world()
+def test_forwarded_job_is_given_up_when_its_caller_disconnects() -> None:
+    # Guards against endpoints that are busy with a job that no caller waits for,
+    # because the entry that it was forwarded to did not learn that the caller
+    # disconnected.
+    world = make_lagging_world()
     caller = world.submit("entry-0", make_job("j1", width=4, seconds=5.0))
     world.run(0.1)
     assert count_alive(world) == 4
@@ -88,8 +89,8 @@
     assert not world.processes["entry-0"].core.forwarding.busy
 
 
-def test_a_job_handed_on_can_be_cancelled() -> None:
-    world = make_pressed_world()
+def test_forwarded_job_can_be_cancelled() -> None:
+    world = make_lagging_world()
     world.submit("entry-0", make_job("j1", width=4, seconds=5.0))
     world.run(0.1)
     assert world.processes["entry-0"].core.intake.has("j1")
@@ -99,11 +100,11 @@
     assert world.get_ends("j1") == ["given_up"]
 
 
-def test_callers_are_answered_when_the_entry_that_serves_them_is_lost() -> None:
-    # Symptom: callers wait until their time is over. Sequence: an entry hands a job on;
-    # the other entry's VM loses power. Cause: the first one waits for a result that
-    # never comes. Whether the job ran can't be known, and must not be denied.
-    world = make_pressed_world()
+def test_callers_are_answered_when_the_serving_entry_is_lost() -> None:
+    # Guards against callers that wait until their timeout: an entry forwards a job,
+    # and the VM of the other entry loses power, so that the result never arrives. The
+    # first entry can't know whether the job ran, and must report that it may have.
+    world = make_lagging_world()
     world.submit("entry-0", make_job("j1", width=4, seconds=5.0))
     world.run(0.1)
     world.darken("entry-1")
@@ -113,11 +114,11 @@
     assert result.retry_after is not None
 
 
-def test_runs_end_when_the_entry_that_the_caller_came_to_is_lost() -> None:
-    # Symptom: as with a caller who hangs up; and the job, handed in again elsewhere,
-    # waits for the one that nobody is waiting for. Sequence: the entry that handed the
-    # job on loses power. Cause: the other one went on serving it.
-    world = make_pressed_world()
+def test_runs_end_when_the_forwarding_entry_is_lost() -> None:
+    # Guards against an entry that continues to serve a forwarded job after the entry
+    # that forwarded it has lost power. Endpoints are then busy with a job that no
+    # caller waits for, and the same job, submitted again elsewhere, waits for its end.
+    world = make_lagging_world()
     world.submit("entry-0", make_job("j1", width=4, seconds=5.0))
     world.run(0.1)
     world.darken("entry-0")
@@ -125,9 +126,9 @@
     assert count_alive(world) == 0
 
 
-def test_a_job_handed_on_and_submitted_elsewhere_runs_once_at_a_time() -> None:
-    # The world checks after each step that no task runs twice at once.
-    world = make_pressed_world(entries=3)
+def test_job_forwarded_and_submitted_elsewhere_runs_once_at_a_time() -> None:
+    # ``RunsWorld`` checks after each step that no task runs twice at once.
+    world = make_lagging_world(entries=3)
     job = make_job("j1", width=4, seconds=3.0)
     world.submit("entry-0", job)
     world.run(0.1)
@@ -139,8 +140,8 @@
     assert world.get_ends("j1") == ["completed"]
 
 
-def test_a_stopping_entry_waits_for_what_it_handed_on() -> None:
-    world = make_pressed_world()
+def test_stopping_entry_waits_for_forwarded_jobs() -> None:
+    world = make_lagging_world()
     world.submit("entry-0", make_job("j1", width=4, seconds=3.0))
     world.run(0.1)
     world.stop("entry-0")
@@ -151,8 +152,8 @@
     assert "entry-0" in world.quiet
 
 
-def make_world_of_two_halves() -> RunsWorld:
-    """Make entries that meet one half of the agents each."""
+def make_split_world() -> RunsWorld:
+    """Make two entries that are connected to one half of the agents each."""
     world = RunsWorld(entries_per_agent=1)
     world.add_entry("entry-0")
     world.add_entry("entry-1")
@@ -162,12 +163,12 @@
     return world
 
 
-def test_a_job_goes_where_there_is_room_though_its_entry_has_none() -> None:
-    # Symptom: callers of one entry are refused while endpoints idle. Sequence: callers
-    # come to entries unevenly, as the balancer spreads them by a hash; each entry meets
-    # some of the agents only; those of one entry are full. Cause: only the room at the
-    # agents that an entry meets was looked at.
-    world = make_world_of_two_halves()
+def test_job_is_forwarded_to_an_entry_with_free_capacity() -> None:
+    # Guards against callers of one entry that are refused while endpoints are idle. The
+    # load balancer spreads callers by a hash and thus unevenly, and each entry is
+    # connected to some of the agents only. When these are full, the free capacity at
+    # other agents must be used.
+    world = make_split_world()
     met = [len(world.processes[name].core.dispatcher.fleet.views) for name in ENTRIES]
     assert min(met) >= 3
     jobs = [f"j{number}" for number in range(met[0] + 4)]
@@ -178,8 +179,8 @@
     assert [world.get_ends(job) for job in jobs] == [["completed"]] * len(jobs)
 
 
-def test_a_job_is_refused_at_once_while_all_entries_are_full() -> None:
-    world = make_world_of_two_halves()
+def test_job_is_refused_at_once_while_no_entry_has_capacity() -> None:
+    world = make_split_world()
     for number in range(24):
         world.submit(ENTRIES[number % 2], make_job(f"old{number}", seconds=9, cpu=2000))
     world.run(0.5)
@@ -192,8 +193,8 @@
     assert {(result.end, result.ran) for result in results} == {("refused", False)}
 
 
-def test_a_job_of_a_queue_just_added_is_handed_to_an_entry_that_knows_it() -> None:
-    world = make_pressed_world()
+def test_job_of_a_new_queue_is_forwarded_to_an_entry_that_knows_the_queue() -> None:
+    world = make_lagging_world()
     added = QUEUE._replace(name="added", prefix="/added/")
     newer = Configuration(7, (QUEUE, added), 10**6)
     world.processes["entry-0"].give(ConfigurationRead(newer))
--- a/tests/core/runs/test_partial_mesh.py
+++ b/tests/core/runs/test_partial_mesh.py
@@ -1,4 +1,8 @@
-"""Where there are more entries than an agent meets: who meets whom, what it costs."""
+"""Deployments in which each agent connects to some of the entries only.
+
+The tests check which entries an agent connects to, what the connections cost, and that
+jobs are handled correctly by entries that don't reach all agents.
+"""
 
 from collections import Counter
 from typing import NamedTuple
@@ -12,61 +16,63 @@
 from tests.lib.runs_world import Process, RunsWorld, make_job
 
 NOW = 100.0
-SETTLE_SECONDS = 3.0
-WATCH_SECONDS = 4.0
-GROWTH = 1.5
+STARTUP_SECONDS = 3.0
+MEASURE_SECONDS = 4.0
+MAX_GROWTH_FACTOR = 1.5
 
 
-def make_partial_mesh(entries: int = 4, agents: int = 8, met: int = 2) -> RunsWorld:
-    """Make a deployment in which each agent meets some entries only."""
-    world = RunsWorld(entries_per_agent=met)
+def make_partial_mesh(
+    entries: int = 4, agents: int = 8, entries_per_agent: int = 2
+) -> RunsWorld:
+    """Make a deployment in which each agent connects to some entries only."""
+    world = RunsWorld(entries_per_agent=entries_per_agent)
     for number in range(entries):
         world.add_entry(f"entry-{number}")
     for number in range(agents):
         world.add_agent(f"agent-{number}")
-    world.run(SETTLE_SECONDS)
+    world.run(STARTUP_SECONDS)
     return world
 
 
-def list_met(world: RunsWorld, agent: str) -> set[str]:
+def list_connected_entries(world: RunsWorld, agent: str) -> set[str]:
     """List the entries that an agent keeps a stream to."""
     return {link.hello.address for link in world.processes[agent].core.links}
 
 
-def find_unshared(world: RunsWorld, other: str) -> tuple[str, str]:
-    """Find an entry and an agent that meet, where the agent doesn't meet another."""
+def find_pair_unconnected_to(world: RunsWorld, other: str) -> tuple[str, str]:
+    """Find a connected entry and agent where the agent isn't connected to ``other``."""
     for agent in [name for name in world.processes if name.startswith("agent")]:
-        met = list_met(world, agent)
+        met = list_connected_entries(world, agent)
         if other not in met:
             return sorted(met)[0], agent
-    raise AssertionError("every agent meets that entry")
+    raise AssertionError("every agent is connected to that entry")
 
 
-def test_each_agent_meets_as_many_entries_as_wanted() -> None:
+def test_each_agent_connects_to_the_configured_number_of_entries() -> None:
     world = make_partial_mesh()
     for number in range(8):
-        assert len(list_met(world, f"agent-{number}")) == 2
+        assert len(list_connected_entries(world, f"agent-{number}")) == 2
 
 
-def test_streams_move_to_an_entry_that_comes_and_back() -> None:
+def test_agents_move_streams_to_a_new_entry_and_back() -> None:
     world = make_partial_mesh(entries=3)
     world.add_entry("entry-3")
     for number in range(8):
         world.processes[f"agent-{number}"].give(AddressesRead(("entry-3",)))
     world.run(8.0)
-    met = [list_met(world, f"agent-{number}") for number in range(8)]
+    met = [list_connected_entries(world, f"agent-{number}") for number in range(8)]
     assert {len(each) for each in met} == {2}
     assert any("entry-3" in each for each in met)
     world.kill("entry-3")
     world.run(1.0)
-    met = [list_met(world, f"agent-{number}") for number in range(8)]
+    met = [list_connected_entries(world, f"agent-{number}") for number in range(8)]
     assert {len(each) for each in met} == {2}
 
 
-def test_a_stream_that_moves_cuts_no_run() -> None:
-    # Symptom: a job is late by seconds. Sequence: an entry joins; agents leave others
-    # for it while runs of theirs are in flight. Cause: a stream was closed with runs
-    # on it, which counted as lost until their lease had run out.
+def test_moving_a_stream_interrupts_no_run() -> None:
+    # Guards against a job that is delayed by seconds: an entry is added, and agents
+    # close their stream to another entry in its favour while runs are in flight on it.
+    # Such runs count as lost, and are not started again until their lease has expired.
     world = make_partial_mesh(entries=3)
     for number in range(3):
         world.submit(f"entry-{number}", make_job(f"j{number}", width=8, seconds=2.0))
@@ -82,20 +88,22 @@
         for task in endpoint.started
     ]
     assert len(starts) == 24
-    assert any("entry-3" in list_met(world, f"agent-{n}") for n in range(8))
+    assert any(
+        "entry-3" in list_connected_entries(world, f"agent-{n}") for n in range(8)
+    )
 
 
 @pytest.mark.parametrize("job", [f"j{number}" for number in range(1, 9)])
-def test_a_job_moves_past_a_cut_between_two_entries(job: str) -> None:
-    # Symptom: a task runs twice. Sequence: two entries can't reach each other; one
-    # takes a job; its caller's connection breaks unnoticed and it goes to the other,
-    # which doesn't meet the agents that run it. Cause: the second could ask neither
-    # the first nor those agents.
+def test_job_moves_between_two_entries_that_cannot_reach_each_other(job: str) -> None:
+    # Guards against a task that runs twice: two entries can't reach each other, and one
+    # accepts a job. The caller's connection breaks unnoticed, and the caller submits
+    # the job to the other entry, which is not connected to the agents that run it. It
+    # can query neither the first entry nor these agents.
     world = make_partial_mesh()
-    first, agent = find_unshared(world, "entry-0")
-    # What the first one takes is run by that one agent.
+    first, agent = find_pair_unconnected_to(world, "entry-0")
+    # Runs of the first entry's jobs are then possible at that one agent only.
     for name in [each for each in world.processes if each.startswith("agent")]:
-        if name != agent and first in list_met(world, name):
+        if name != agent and first in list_connected_entries(world, name):
             world.cut_link(first, name)
     world.cut_link("entry-0", first)
     world.run(IDLE_TIMEOUT_SECONDS + 1.0)
@@ -107,26 +115,26 @@
     assert not world.processes[first].core.dispatcher.jobs
 
 
-def test_a_lost_entry_is_asked_for_once_not_for_each_job() -> None:
-    # Symptom: entries and agents spend most of their time on questions while an entry
-    # is missing. Sequence: an entry is killed; each job of the next seconds is asked
-    # for at every agent. Cause: its death couldn't be told from a cut.
+def test_agents_are_not_queried_for_each_job_while_an_entry_is_lost() -> None:
+    # Guards against entries and agents that spend most of their time on claims while an
+    # entry is missing. If the death of a killed entry can't be told from a network cut,
+    # each job of the next seconds is claimed at every agent.
     world = make_partial_mesh()
     world.kill("entry-3")
     world.run(1.5)
-    sent = watch_frames(world)
+    counters = count_frames(world)
     for number in range(6):
         world.submit("entry-0", make_job(f"j{number}", seconds=0.1))
     world.run(2.0)
-    assert not sent.messages["Claim"]
+    assert not counters.messages["Claim"]
     assert all(world.get_ends(f"j{number}") == ["completed"] for number in range(6))
 
 
-def test_an_order_older_than_its_entrys_patience_starts_nothing() -> None:
-    # Symptom: a task runs twice. Sequence: an order waits in the buffers of a link
-    # that was cut, on a stream with nothing else in flight; its entry has given it
-    # up and started the task elsewhere when it arrives. Cause: on such streams
-    # silence no longer shows that what arrives is old.
+def test_outdated_start_order_is_ignored() -> None:
+    # Guards against a task that runs twice: a start order is delayed in the buffers of
+    # a link that was cut, on an idle stream. When it arrives, its entry has given it up
+    # and started the task elsewhere. On an idle stream the time without frames doesn't
+    # show that the order is old.
     world = make_partial_mesh(entries=1, agents=1)
     view = next(iter(world.processes["entry-0"].core.dispatcher.fleet.views.values()))
     assert view.link.estimate_clock(world.now) == pytest.approx(world.now, abs=0.01)
@@ -138,8 +146,8 @@
     assert endpoint.started == []
 
 
-class Cost(NamedTuple):
-    """What one process does for control in a second, by its role."""
+class ControlCost(NamedTuple):
+    """Frames sent and events handled by one process per second, by its role."""
 
     entry_frames: float
     entry_steps: float
@@ -147,8 +155,8 @@
     agent_steps: float
 
 
-class Watch:
-    """Frames sent, by message, and events handled, by role."""
+class FrameCounters:
+    """Frames sent, by message and by role, and events handled, by role."""
 
     def __init__(self) -> None:
         self.messages: Counter[str] = Counter()
@@ -156,51 +164,51 @@
         self.steps: Counter[str] = Counter()
 
 
-def watch_frames(world: RunsWorld) -> Watch:
-    """Count what processes send and handle from now on."""
-    watch = Watch()
+def count_frames(world: RunsWorld) -> FrameCounters:
+    """Count the frames that processes send and the events they handle from now on."""
+    counters = FrameCounters()
     send, give = world.send_frame, Process.give
 
     def count_send(process: Process, action) -> None:
-        watch.frames[process.name.partition("-")[0]] += 1
-        watch.messages[type(action.message).__name__] += 1
+        counters.frames[process.name.partition("-")[0]] += 1
+        counters.messages[type(action.message).__name__] += 1
         send(process, action)
 
     def count_give(process: Process, event) -> None:
-        watch.steps[process.name.partition("-")[0]] += 1
+        counters.steps[process.name.partition("-")[0]] += 1
         give(process, event)
 
     world.send_frame = count_send
     for process in world.processes.values():
         process.give = lambda event, process=process: count_give(process, event)
-    return watch
+    return counters
 
 
-def measure_idle(entries: int, agents: int) -> Cost:
-    """Measure a deployment in which nothing is asked for."""
+def measure_idle_cost(entries: int, agents: int) -> ControlCost:
+    """Measure the control cost of a deployment without jobs."""
     world = make_partial_mesh(entries, agents, ENTRIES_PER_AGENT)
     world.checking = False
-    watch = watch_frames(world)
-    world.run(WATCH_SECONDS)
-    return Cost(
-        watch.frames["entry"] / entries / WATCH_SECONDS,
-        watch.steps["entry"] / entries / WATCH_SECONDS,
-        watch.frames["agent"] / agents / WATCH_SECONDS,
-        watch.steps["agent"] / agents / WATCH_SECONDS,
+    counters = count_frames(world)
+    world.run(MEASURE_SECONDS)
+    return ControlCost(
+        counters.frames["entry"] / entries / MEASURE_SECONDS,
+        counters.steps["entry"] / entries / MEASURE_SECONDS,
+        counters.frames["agent"] / agents / MEASURE_SECONDS,
+        counters.steps["agent"] / agents / MEASURE_SECONDS,
     )
 
 
-def test_control_of_a_process_does_not_grow_with_their_number() -> None:
-    # Symptom: processes of a large deployment spend their time on proofs of life.
-    # Sequence: each proves its life to all others five times a second. Cause: what a
-    # process did grew with the number of processes.
-    small = measure_idle(13, 74)
-    large = measure_idle(35, 160)
+def test_control_cost_of_a_process_does_not_grow_with_the_deployment() -> None:
+    # Guards against processes of a large deployment that spend their time on
+    # heartbeats, because each one sends heartbeats to all others five times a second
+    # and the cost per process grows with the number of processes.
+    small = measure_idle_cost(13, 74)
+    large = measure_idle_cost(35, 160)
     for before, after in zip(small, large, strict=True):
-        assert after <= GROWTH * before
+        assert after <= MAX_GROWTH_FACTOR * before
 
 
-def test_agents_spread_over_entries_and_every_agent_ranks_its_own_way() -> None:
+def test_agents_spread_evenly_over_entries() -> None:
     entries = [f"10.0.{number}.1:7720" for number in range(35)]
     met: Counter[str] = Counter()
     for number in range(160):
@@ -213,7 +221,7 @@
     assert max(met.values()) <= 2 * 160 * ENTRIES_PER_AGENT / 35
 
 
-def test_a_dead_entry_is_replaced_and_dialled_rarely() -> None:
+def test_lost_entry_is_replaced_and_dialled_rarely() -> None:
     entries = [f"entry-{number}" for number in range(20)]
     addresses = Addresses("agent-0", 4)
     addresses.add(entries, NOW)
@@ -234,8 +242,8 @@
     assert dials <= 15
 
 
-def test_a_lost_entry_delays_the_jobs_that_it_decided_about_only() -> None:
-    """Guards against all entries that hold every new job while one is missing."""
+def test_lost_entry_delays_only_the_jobs_whose_home_it_was() -> None:
+    """Guards against entries that delay every new job while one entry is missing."""
     world = make_partial_mesh(entries=5, agents=10)
     world.darken("entry-4")
     world.run(1.3)
@@ -253,15 +261,19 @@
 
 @pytest.mark.parametrize("number", range(6))
 @pytest.mark.parametrize("joins", [False, True])
-def test_a_job_whose_home_is_lost_is_known_by_what_its_entry_has_told(
+def test_owner_of_a_job_is_known_after_the_loss_of_its_home(
     joins: bool, number: int
 ) -> None:
-    """Guards against the next home, which lets start what runs already."""
+    """Guards against a new home entry that lets a job start that already runs.
+
+    The job's home is lost. The next home must know the job's owner from what the owner
+    has announced.
+    """
     world = make_partial_mesh(entries=5, agents=10)
     entries = tuple(f"entry-{each}" for each in range(5))
     left = (*entries[:4], "entry-5") if joins else entries[:4]
     jobs = [f"j{each}" for each in range(400)]
-    # The lost entry was its home; the next one is neither of those that have callers.
+    # Jobs whose home is lost, and whose next home is not an entry that gets callers.
     moved = [
         job
         for job in jobs
--- a/tests/core/runs/test_power_loss.py
+++ b/tests/core/runs/test_power_loss.py
@@ -1,4 +1,4 @@
-"""All VMs lose their power and come back together; callers come at once."""
+"""All VMs lose power and restart together, and callers submit jobs at once."""
 
 from random import Random
 
@@ -7,18 +7,18 @@
 
 ENTRIES = tuple(f"entry-{number:02}" for number in range(14))
 AGENTS = tuple(f"agent-{number:02}" for number in range(40))
-DARK_SECONDS = 1.6
+OUTAGE_SECONDS = 1.6
 START_SECONDS = 0.3
-START_SPREAD = 0.3
-"""Seconds from power until programs run, and by how much they differ."""
+START_SPREAD_SECONDS = 0.3
+"""Seconds from the return of power to the start of a program, and its random spread."""
 
-STORE_SECONDS = 0.02
-CALLS = 20
-CALL_PAUSE = 0.05
+STORE_READ_SECONDS = 0.02
+CALLS_PER_ENTRY = 20
+CALL_INTERVAL_SECONDS = 0.05
 
 
-class Blackout:
-    """Plays the loss and the return of power, and notes what callers got."""
+class PowerLoss:
+    """Simulates the loss and return of power of a whole deployment."""
 
     def __init__(self, seed: int = 1) -> None:
         self.rng = Random(seed)
@@ -30,21 +30,21 @@
         self.world.run(3.0)
 
     def lose_power(self) -> None:
-        """Take the power of everything, and give it back."""
+        """Cut the power of all VMs, restore it, and wait until all programs run."""
         for name in (*ENTRIES, *AGENTS):
             self.world.darken(name)
         for name in AGENTS:
             self.world.endpoints[name] = None
-        self.world.run(DARK_SECONDS)
+        self.world.run(OUTAGE_SECONDS)
         self.world.notes.clear()
         for name in ENTRIES:
-            self._start_later(name, self._start_entry)
+            self._schedule_start(name, self._start_entry)
         for name in AGENTS:
-            self._start_later(name, self._start_agent)
-        self.world.run(START_SECONDS + START_SPREAD)
+            self._schedule_start(name, self._start_agent)
+        self.world.run(START_SECONDS + START_SPREAD_SECONDS)
 
-    def _start_later(self, name: str, start) -> None:
-        delay = START_SECONDS + self.rng.random() * START_SPREAD
+    def _schedule_start(self, name: str, start) -> None:
+        delay = START_SECONDS + self.rng.random() * START_SPREAD_SECONDS
         self.world.after(delay, lambda: start(name))
 
     def _start_entry(self, name: str) -> None:
@@ -57,37 +57,37 @@
 
     def _read_store(self, name: str) -> None:
         process = self.world.processes[name]
-        read = AddressesRead(ENTRIES)
-        self.world.after(STORE_SECONDS, lambda: process.give(read))
+        addresses_read = AddressesRead(ENTRIES)
+        self.world.after(STORE_READ_SECONDS, lambda: process.give(addresses_read))
 
-    def call(self) -> list[str]:
-        """Let callers hand in short jobs at all entries for a while."""
+    def submit_jobs(self) -> list[str]:
+        """Submit short jobs at all entries for a while, and return their names."""
         jobs = []
-        for _ in range(CALLS):
+        for _ in range(CALLS_PER_ENTRY):
             for name in ENTRIES:
                 job = f"j{len(jobs)}"
                 jobs.append(job)
                 self.world.submit(name, make_job(job, width=2, seconds=0.2))
-            self.world.run(CALL_PAUSE)
+            self.world.run(CALL_INTERVAL_SECONDS)
         return jobs
 
-    def find_first(self, event: str) -> float:
-        """Find when something was first noted since power is back."""
+    def find_first_event_time(self, event: str) -> float:
+        """Return when an event was first logged after power returned."""
         return min(at for at, _, note in self.world.notes if note.event == event)
 
 
-def test_runs_start_as_soon_as_all_programs_run() -> None:
-    blackout = Blackout()
-    blackout.lose_power()
-    up_at = blackout.world.now
-    blackout.call()
-    assert blackout.find_first("start_ordered") <= up_at + 0.1
+def test_runs_start_once_all_programs_run() -> None:
+    power_loss = PowerLoss()
+    power_loss.lose_power()
+    started_at = power_loss.world.now
+    power_loss.submit_jobs()
+    assert power_loss.find_first_event_time("start_ordered") <= started_at + 0.1
 
 
-def test_callers_are_served_in_time_from_the_moment_all_programs_run() -> None:
-    blackout = Blackout()
-    blackout.lose_power()
-    jobs = blackout.call()
-    blackout.world.run(2.0)
-    ends = [blackout.world.get_ends(job) for job in jobs]
+def test_callers_are_served_in_time_once_all_programs_run() -> None:
+    power_loss = PowerLoss()
+    power_loss.lose_power()
+    jobs = power_loss.submit_jobs()
+    power_loss.world.run(2.0)
+    ends = [power_loss.world.get_ends(job) for job in jobs]
     assert sum(end == ["completed"] for end in ends) >= 0.95 * len(jobs)
--- a/tests/core/runs/test_silent_streams.py
+++ b/tests/core/runs/test_silent_streams.py
@@ -1,4 +1,4 @@
-"""Streams that fall silent together, without a word."""
+"""Streams that stop carrying frames without being closed, several at a time."""
 
 import pytest
 
@@ -9,12 +9,12 @@
 ENTRIES = 3
 AGENTS = 3
 
-NOTICED = 2.0
-"""Seconds in which all streams are missed and opened anew."""
+RECOVERY_SECONDS = 2.0
+"""Seconds within which all broken streams time out and are opened again."""
 
 
-def make_busy_world(seconds: float = 9.0) -> RunsWorld:
-    """Make a deployment in which each agent works for the first entry alone."""
+def make_busy_deployment(seconds: float = 9.0) -> RunsWorld:
+    """Make a deployment in which each agent has runs of the first entry only."""
     world = make_world(entries=ENTRIES, agents=AGENTS)
     cpu = CAPACITY.cpu // 2
     world.submit("entry-0", make_job("j1", width=2 * AGENTS, seconds=seconds, cpu=cpu))
@@ -22,38 +22,40 @@
     return world
 
 
-def list_streams(world: RunsWorld, entry: str) -> list[int]:
+def list_working_streams(world: RunsWorld, entry: str) -> list[int]:
     """List an entry's streams to agents that still carry frames."""
     process = world.processes[entry]
     streams = process.core.dispatcher.fleet.views
     return [each for each in streams if not process.streams[each].silent]
 
 
-def test_agents_miss_idle_streams_that_fell_silent_with_a_busy_one() -> None:
-    world = make_busy_world()
+def test_agents_reopen_idle_streams_that_broke_together_with_a_busy_one() -> None:
+    world = make_busy_deployment()
     world.silence_streams()
-    world.run(NOTICED)
+    world.run(RECOVERY_SECONDS)
     for number in range(ENTRIES):
-        assert len(list_streams(world, f"entry-{number}")) == AGENTS
+        assert len(list_working_streams(world, f"entry-{number}")) == AGENTS
 
 
-def test_agents_whose_runs_end_in_the_silence_miss_it_too() -> None:
-    world = make_busy_world(seconds=0.55)
+def test_agents_whose_runs_end_on_broken_streams_reopen_all_streams() -> None:
+    world = make_busy_deployment(seconds=0.55)
     world.silence_streams()
-    world.run(NOTICED)
+    world.run(RECOVERY_SECONDS)
     for number in range(ENTRIES):
-        assert len(list_streams(world, f"entry-{number}")) == AGENTS
+        assert len(list_working_streams(world, f"entry-{number}")) == AGENTS
 
 
-def test_idle_streams_outlive_an_entry_that_falls_silent() -> None:
-    world = make_busy_world()
-    before = [list_streams(world, f"entry-{number}") for number in (1, 2)]
+def test_idle_streams_stay_open_when_an_entry_loses_power() -> None:
+    world = make_busy_deployment()
+    before = [list_working_streams(world, f"entry-{number}") for number in (1, 2)]
     world.darken("entry-0")
-    world.run(NOTICED)
-    assert [list_streams(world, f"entry-{number}") for number in (1, 2)] == before
+    world.run(RECOVERY_SECONDS)
+    assert [
+        list_working_streams(world, f"entry-{number}") for number in (1, 2)
+    ] == before
 
 
-def test_nothing_is_sent_on_a_stream_in_doubt() -> None:
+def test_broken_streams_count_as_overdue() -> None:
     world = make_world(entries=1, agents=AGENTS)
     world.submit("entry-0", make_job("j1", seconds=9.0))
     world.run(0.2)
@@ -68,9 +70,9 @@
 
 
 @pytest.mark.parametrize("lost_at", [0.6, 0.7, 0.8, 0.9])
-@pytest.mark.parametrize("back", [0.2, 0.3])
-def test_a_job_of_an_entry_lost_silently_and_back_at_once_runs_once(
-    lost_at: float, back: float
+@pytest.mark.parametrize("restart_after", [0.2, 0.3])
+def test_job_of_an_entry_that_lost_power_and_restarts_at_once_runs_once(
+    lost_at: float, restart_after: float
 ) -> None:
     world = RunsWorld(0, entries_per_agent=2)
     for number in range(5):
@@ -79,14 +81,15 @@
         world.add_agent(f"agent-{number}")
     world.run(2.0)
     job = make_job("j1", width=2, seconds=9.0)
-    # Its caller's connection breaks unnoticed at once, so that it comes again then.
+    # The caller's connection breaks unnoticed at once. It submits the job again after
+    # ``RESUBMIT_SECONDS``.
     world.submit("entry-2", job)
     world.run(lost_at)
     for name in ("entry-2", "entry-3"):
         world.darken(name)
-    world.run(back)
+    world.run(restart_after)
     for name in ("entry-2", "entry-3"):
         world.add_entry(name)
-    world.run(RESUBMIT_SECONDS - lost_at - back)
+    world.run(RESUBMIT_SECONDS - lost_at - restart_after)
     world.submit("entry-3", job)
     world.run(3.0)
--- a/tests/core/runs/test_silent_streams_exploration.py
+++ b/tests/core/runs/test_silent_streams_exploration.py
@@ -1,4 +1,4 @@
-"""Streams that go silent for good, all at once or some, while all else fails, too."""
+"""Random faults together with streams that stop carrying frames, some or all."""
 
 from collections.abc import Callable
 
@@ -7,47 +7,48 @@
 from tests.core.runs.test_exploration import PARTIAL_MESH, SEEDS, Explorer, explore
 
 REGRESSION_SEEDS_PARTIAL_MESH = (
-    # An entry that had just been started took a job of one that was lost behind silent
-    # streams and back at once; those that knew took its former process for alive.
+    # An entry that had just started accepted a job of another entry, which was lost
+    # behind silent streams and restarted at once. The entries that knew of the job
+    # mistook that entry's previous process for alive.
     1332,
 )
-"""Seeds of the wide fleet that once failed, with their cause."""
+"""Seeds of the exploration in a partial mesh that once failed, with their cause."""
 
-SOME = 0.5
-"""Share of the streams that go silent together."""
+SILENCED_SHARE = 0.5
+"""Share of the ends of streams that go silent together."""
 
-ONE_WAY = 0.2
-"""Share of the streams' ends of which the other one still hears."""
+ONE_WAY_SHARE = 0.2
+"""Share of the ends of streams that go silent while the other end mostly works."""
 
 
 class SilentStreamExplorer(Explorer):
-    """Explores streams that go silent without a word."""
+    """Explores streams that stop carrying frames without being closed."""
 
     def list_actions(self) -> list[Callable[[], None]]:
-        """List what may happen."""
-        mine = [self.silence_all, self.silence_some, self.silence_one_way]
-        return [*super().list_actions(), *mine]
+        """List the possible actions, including those that silence streams."""
+        own_actions = [self.silence_all, self.silence_some, self.silence_one_way]
+        return [*super().list_actions(), *own_actions]
 
     def silence_all(self) -> None:
-        """Let all streams that are open go silent."""
+        """Silence all open streams."""
         self.world.silence_streams()
 
     def silence_some(self) -> None:
-        """Let each end of a stream go silent or not."""
-        self.world.silence_streams(lambda: self.rng.random() < SOME)
+        """Silence each end of a stream at random."""
+        self.world.silence_streams(lambda: self.rng.random() < SILENCED_SHARE)
 
     def silence_one_way(self) -> None:
-        """Let some ends of streams go silent."""
-        self.world.silence_streams(lambda: self.rng.random() < ONE_WAY)
+        """Silence a few ends of streams, so that most of them fail in one direction."""
+        self.world.silence_streams(lambda: self.rng.random() < ONE_WAY_SHARE)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_nothing_runs_twice_while_streams_fall_silent(seed: int) -> None:
+def test_no_task_runs_twice_while_streams_break_silently(seed: int) -> None:
     explore(SilentStreamExplorer(seed))
 
 
 @pytest.mark.parametrize("seed", [*SEEDS, *REGRESSION_SEEDS_PARTIAL_MESH])
-def test_nothing_runs_twice_while_streams_of_a_wide_fleet_fall_silent(
+def test_no_task_runs_twice_while_streams_of_a_partial_mesh_break_silently(
     seed: int,
 ) -> None:
     explore(SilentStreamExplorer(seed, size=PARTIAL_MESH))
