--- a/tests/core/runs/test_forwarding.py
+++ b/tests/core/runs/test_forwarding.py
@@ -169,12 +169,14 @@
     # connected to some of the agents only. When these are full, the free capacity at
     # other agents must be used.
     world = make_split_world()
-    met = [len(world.processes[name].core.dispatcher.fleet.views) for name in ENTRIES]
-    assert min(met) >= 3
-    jobs = [f"j{number}" for number in range(met[0] + 4)]
+    connected = [
+        len(world.processes[name].core.dispatcher.fleet.views) for name in ENTRIES
+    ]
+    assert min(connected) >= 3
+    jobs = [f"j{number}" for number in range(connected[0] + 4)]
     for job in jobs:
         world.submit("entry-0", make_job(job, seconds=1.0, cpu=2000))
-        world.run(0.25 if job == jobs[met[0]] else 0.01)
+        world.run(0.25 if job == jobs[connected[0]] else 0.01)
     world.run(4.0)
     assert [world.get_ends(job) for job in jobs] == [["completed"]] * len(jobs)
 
--- a/tests/core/runs/test_partial_mesh.py
+++ b/tests/core/runs/test_partial_mesh.py
@@ -42,9 +42,9 @@
 def find_pair_unconnected_to(world: RunsWorld, other: str) -> tuple[str, str]:
     """Find a connected entry and agent where the agent isn't connected to ``other``."""
     for agent in [name for name in world.processes if name.startswith("agent")]:
-        met = list_connected_entries(world, agent)
-        if other not in met:
-            return sorted(met)[0], agent
+        connected = list_connected_entries(world, agent)
+        if other not in connected:
+            return sorted(connected)[0], agent
     raise AssertionError("every agent is connected to that entry")
 
 
@@ -60,13 +60,17 @@
     for number in range(8):
         world.processes[f"agent-{number}"].give(AddressesRead(("entry-3",)))
     world.run(8.0)
-    met = [list_connected_entries(world, f"agent-{number}") for number in range(8)]
-    assert {len(each) for each in met} == {2}
-    assert any("entry-3" in each for each in met)
+    connected = [
+        list_connected_entries(world, f"agent-{number}") for number in range(8)
+    ]
+    assert {len(each) for each in connected} == {2}
+    assert any("entry-3" in each for each in connected)
     world.kill("entry-3")
     world.run(1.0)
-    met = [list_connected_entries(world, f"agent-{number}") for number in range(8)]
-    assert {len(each) for each in met} == {2}
+    connected = [
+        list_connected_entries(world, f"agent-{number}") for number in range(8)
+    ]
+    assert {len(each) for each in connected} == {2}
 
 
 def test_moving_a_stream_interrupts_no_run() -> None:
@@ -210,15 +214,15 @@
 
 def test_agents_spread_evenly_over_entries() -> None:
     entries = [f"10.0.{number}.1:7720" for number in range(35)]
-    met: Counter[str] = Counter()
+    connected: Counter[str] = Counter()
     for number in range(160):
         addresses = Addresses(f"10.1.0.{number}:7720", ENTRIES_PER_AGENT)
         addresses.add(entries, NOW)
         due = addresses.list_due(NOW)
         assert len(due) == ENTRIES_PER_AGENT
-        met.update(due)
-    assert len(met) == 35
-    assert max(met.values()) <= 2 * 160 * ENTRIES_PER_AGENT / 35
+        connected.update(due)
+    assert len(connected) == 35
+    assert max(connected.values()) <= 2 * 160 * ENTRIES_PER_AGENT / 35
 
 
 def test_lost_entry_is_replaced_and_dialled_rarely() -> None:
@@ -271,17 +275,17 @@
     """
     world = make_partial_mesh(entries=5, agents=10)
     entries = tuple(f"entry-{each}" for each in range(5))
-    left = (*entries[:4], "entry-5") if joins else entries[:4]
+    remaining = (*entries[:4], "entry-5") if joins else entries[:4]
     jobs = [f"j{each}" for each in range(400)]
     # Jobs whose home is lost, and whose next home is not an entry that gets callers.
     moved = [
         job
         for job in jobs
         if choose_home(job, entries) == "entry-4"
-        and choose_home(job, left) not in ("entry-0", "entry-1")
+        and choose_home(job, remaining) not in ("entry-0", "entry-1")
     ]
     if joins:
-        moved = [job for job in moved if choose_home(job, left) == "entry-5"]
+        moved = [job for job in moved if choose_home(job, remaining) == "entry-5"]
     job = make_job(moved[number], width=4, seconds=6.0)
     world.submit("entry-0", job)
     world.run(0.5)
