--- a/bench/stubs.py
+++ b/bench/stubs.py
@@ -31,7 +31,7 @@
 )
 from godwitbank._internal.models.settings import parse_address
 from godwitbank._internal.network.codec import encode
-from godwitbank._internal.network.streams import StreamEvents, StreamTable
+from godwitbank._internal.network.streams import StreamCallbacks, StreamTable
 from godwitbank._internal.operations.inbox import Inbox
 
 SLOTS = 64
@@ -51,7 +51,7 @@
             self.core, self.perform, lambda: self.core.next_wakeup, time.monotonic
         )
         self.greeting = make_hello(identity, Role.AGENT)
-        events = StreamEvents(self.inbox.put, self.core.counts.add)
+        events = StreamCallbacks(self.inbox.put, self.core.counts.add)
         self.streams = StreamTable(events, self.greeting)
 
     def perform(self, actions: list[Action]) -> None:
@@ -65,7 +65,7 @@
                 loop = asyncio.get_running_loop()
                 loop.call_later(seconds, self.end, action, seconds)
             elif isinstance(action, CloseStream):
-                self.streams.close(action.stream, silent=False)
+                self.streams.close(action.stream, timed_out=False)
         for stream, messages in writes.items():
             self.streams.write(stream, messages)
 
@@ -78,7 +78,7 @@
     async def run(self, port: int, entry: str) -> None:
         """Serve, and announce to one entry until it dials."""
         loop = asyncio.get_running_loop()
-        await loop.create_server(self.streams.make_accepted, "127.0.0.1", port)
+        await loop.create_server(self.streams.make_accepted_stream, "127.0.0.1", port)
         owner = asyncio.create_task(self.inbox.run())
         self.inbox.put(EndpointAnnounced("desk", SLOTS, LEASE))
         while True:
--- a/src/godwitbank/_internal/core/dispatch.py
+++ b/src/godwitbank/_internal/core/dispatch.py
@@ -305,7 +305,7 @@
     def _take_sent(
         self, view: AgentView, message: Finished | Refused
     ) -> OutstandingStart | None:
-        view.update_free_slots(message.free, message.seen)
+        view.update_free_slots(message.free_slots, message.starts_received)
         return view.outstanding.pop(message.key, None)
 
     def handle_finished(self, view: AgentView, message: Finished) -> None:
--- a/src/godwitbank/_internal/core/entry.py
+++ b/src/godwitbank/_internal/core/entry.py
@@ -305,14 +305,14 @@
         self.dispatcher.dispatch(service)
 
     def _hear_load(self, view: AgentView, load: Load) -> None:
-        view.update_free_slots(load.free, load.seen)
+        view.update_free_slots(load.free_slots, load.starts_received)
         service = self.dispatcher.services.get(view.service)
         if service is not None:
             self.dispatcher.dispatch(service)
 
     def _hear_agent(self, view: AgentView, heartbeat: Heartbeat) -> None:
         view.set_clock(heartbeat.clock, self._now)
-        view.update_free_slots(heartbeat.free, heartbeat.seen)
+        view.update_free_slots(heartbeat.free_slots, heartbeat.starts_received)
         view.reported_failure_rate = heartbeat.failure_rate
         self._informed = True
         if view.stream is not None:
@@ -337,7 +337,7 @@
     def _note_peer_load(self, process: str, load: PeerLoad) -> None:
         service = self.dispatcher.services.get(load.service)
         if service is not None:
-            backlog = PeerBacklog(load.backlog, self._now)
+            backlog = PeerBacklog(load.backlog_seconds, self._now)
             service.peer_backlogs[process] = backlog
             service.quota.update_peer_demand(process, load.demand, self._now)
 
--- a/src/godwitbank/_internal/core/runs/agent.py
+++ b/src/godwitbank/_internal/core/runs/agent.py
@@ -445,7 +445,7 @@
         typical_cpu = self.held_runs.typical_cpu
         for link in self._bulletins.begin_round(self.links, typical_cpu, self._now):
             room = Room(*free, self.held_runs.parked, link.received)
-            own_news = news._replace(open=False) if link.leaving else news
+            own_news = news._replace(accepts_runs=False) if link.leaving else news
             at_once = link.stream in concerned
             for due in self._bulletins.list_due(link, own_news, room, at_once):
                 self._send(link.stream, due)
--- a/src/godwitbank/_internal/core/runs/dispatcher.py
+++ b/src/godwitbank/_internal/core/runs/dispatcher.py
@@ -501,7 +501,7 @@
                 self._limbo.remove(task)
                 task.state = TaskState.SENT
                 view.add_run(task, self._now)
-            elif view.news is not None and view.news.settled:
+            elif view.news is not None and view.news.reconciled:
                 self._release(task)
 
     def release_orphaned_runs(self, view: AgentView) -> None:
--- a/src/godwitbank/_internal/core/runs/entry.py
+++ b/src/godwitbank/_internal/core/runs/entry.py
@@ -397,8 +397,8 @@
         if view.news is not None and view.news.instance != news.instance:
             view.health.clear()
         self.dispatcher.fleet.update_endpoint(view, news)
-        self._note("endpoint_news", agent=view.address, open=news.open)
-        if news.settled:
+        self._note("endpoint_news", agent=view.address, open=news.accepts_runs)
+        if news.reconciled:
             self.dispatcher.release_orphaned_runs(view)
         self.dispatcher.dispatch(view.service)
 
--- a/src/godwitbank/_internal/core/runs/fleet.py
+++ b/src/godwitbank/_internal/core/runs/fleet.py
@@ -72,7 +72,7 @@
     @property
     def accepts_runs(self) -> bool:
         """Whether the agent takes new runs."""
-        return self.news is not None and self.news.open and not self.evacuated
+        return self.news is not None and self.news.accepts_runs and not self.evacuated
 
     @property
     def cold(self) -> bool:
@@ -107,7 +107,7 @@
         """Note the agent's room and which starts it has counted in."""
         self._room = Resources(room.cpu, room.memory, room.gpu)
         self.parked_by_others = max(0, room.parked - self.own_parked)
-        while len(self._unseen) > self._sent - room.seen:
+        while len(self._unseen) > self._sent - room.starts_received:
             self._unseen_sum -= self._unseen.popleft()
         self.free = self._room - self._unseen_sum
 
@@ -246,7 +246,7 @@
         return any(
             now - view.opened_at < self._agent_startup_seconds
             and not view.evacuated
-            and (view.news is None or not view.news.settled)
+            and (view.news is None or not view.news.reconciled)
             for view in self.views.values()
         )
 
--- a/src/godwitbank/_internal/core/runs/handover.py
+++ b/src/godwitbank/_internal/core/runs/handover.py
@@ -361,8 +361,8 @@
         """Take the answer of a job's home."""
         self.homes.handle_answer(link.stream, message)
         asked = self._asked.get(message.job)
-        own = message.asker == self._links.own_incarnation
-        if not own or asked is None or asked.number != message.number:
+        own = message.requester == self._links.own_incarnation
+        if not own or asked is None or asked.number != message.request_number:
             return
         if not message.owner:
             self._asked[message.job] = asked._replace(stream=RETRY_STREAM)
@@ -449,13 +449,16 @@
         delayed = self._delayed.get(message.job)
         if delayed is None or not delayed.claim_sent:
             return
-        if message.lost:
+        if message.claim_lost:
             del self._delayed[message.job]
             self._release(message.job)
             if not delayed.abandoned:
                 self._give_up_unknown(delayed.job, "claimed_elsewhere")
             return
-        if delayed.handle_claimed(view.stream, message.over) and self._knows_agents:
+        if (
+            delayed.handle_claimed(view.stream, message.all_ended)
+            and self._knows_agents
+        ):
             self._start_now(delayed)
 
     @property
--- a/src/godwitbank/_internal/core/runs/homes.py
+++ b/src/godwitbank/_internal/core/runs/homes.py
@@ -297,7 +297,7 @@
         """Note that nothing of some jobs is left at an entry, or pass that on."""
         owner, hops = release.owner, release.hops
         passed: dict[int, dict[str, int]] = {}
-        for job, number in zip(release.jobs, release.numbers, strict=False):
+        for job, number in zip(release.jobs, release.request_numbers, strict=False):
             self._note_release(job, owner, number)
             route = self.find_route(job)
             if route is not None and route.stream and hops:
--- a/src/godwitbank/_internal/core/runs/intake.py
+++ b/src/godwitbank/_internal/core/runs/intake.py
@@ -146,7 +146,7 @@
         known = self._find_known(name)
         if known is not None:
             known.callers.append(self._adoption.add_caller(link.stream, name))
-            known.deadline = max(known.deadline, self._now + message.patience)
+            known.deadline = max(known.deadline, self._now + message.timeout_seconds)
         elif self._forwarding.can_join(name, link.stream):
             caller = self._adoption.add_caller(link.stream, name)
             self._forwarding.add_caller(name, caller)
--- a/src/godwitbank/_internal/core/runs/remote_callers.py
+++ b/src/godwitbank/_internal/core/runs/remote_callers.py
@@ -39,7 +39,7 @@
         caller = self.add_caller(stream, message.job)
         steps = tuple(_decode_step(fields) for fields in message.steps)
         spec = JobSpec(message.job, message.queue, message.payload, steps)
-        return JobSubmitted(caller, spec, message.patience)
+        return JobSubmitted(caller, spec, message.timeout_seconds)
 
     def add_caller(self, stream: int, job: str) -> int:
         """Give a number to a caller of another entry."""
--- a/src/godwitbank/_internal/core/runs/runner.py
+++ b/src/godwitbank/_internal/core/runs/runner.py
@@ -183,7 +183,7 @@
             self._refuse(held, RunEnd.CLOSED, "closed")
         elif not held.needs.fits(self.held_runs.capacity):
             self._refuse(held, RunEnd.INVALID, "too_large")
-        elif not order.parks and not self._has_room(held):
+        elif not order.may_park and not self._has_room(held):
             # Two entries chose this agent for the same room.
             self._refuse(held, RunEnd.NOT_STARTED, "room")
         else:
--- a/src/godwitbank/_internal/models/document.py
+++ b/src/godwitbank/_internal/models/document.py
@@ -7,13 +7,13 @@
 
 from godwitbank._internal.utils.tables import (
     TableFault,
-    find_line,
-    parse_text,
-    read_table,
+    convert_table,
+    find_key_line,
+    parse_toml,
 )
 
 MAX_SLOTS = 1024
-MAX_DEADLINE = 3600.0
+MAX_DEADLINE_SECONDS = 3600.0
 
 
 class ServiceTable(NamedTuple):
@@ -110,7 +110,7 @@
         >>> ServiceDocument.from_text("[service]\nname = 'a'").failure().key
         'service.team'
         """
-        return parse_text(text).bind(lambda table: _build(table, text))
+        return parse_toml(text).bind(lambda table: _build(table, text))
 
 
 _TABLES: dict[str, type] = {
@@ -137,12 +137,12 @@
     "endpoint.drain_seconds": Bound(0, 600),
     "policy.message_weight": Bound(0, 1),
     "policy.stretch": Bound(0, 100),
-    "deadline_seconds": Bound(0.05, MAX_DEADLINE),
-    "timeout_seconds": Bound(0.01, MAX_DEADLINE),
+    "deadline_seconds": Bound(0.05, MAX_DEADLINE_SECONDS),
+    "timeout_seconds": Bound(0.01, MAX_DEADLINE_SECONDS),
     "weight": Bound(0.01, 1000),
     "retries": Bound(0, 1000),
     "queue_tasks": Bound(1, 1_000_000),
-    "expected_seconds": Bound(0.001, MAX_DEADLINE),
+    "expected_seconds": Bound(0.001, MAX_DEADLINE_SECONDS),
 }
 
 
@@ -150,19 +150,19 @@
     for key in table:
         if key not in _TABLES and key != "class":
             allowed = ", ".join([*_TABLES, "class"])
-            line = find_line(text, key)
+            line = find_key_line(text, key)
             return Failure(
                 TableFault(line, key, "unknown table", f"use one of: {allowed}")
             )
     parts: dict[str, Any] = {}
     for name, shape in _TABLES.items():
-        part = read_table(table.get(name, {}), shape, text, f"{name}.")
+        part = convert_table(table.get(name, {}), shape, text, f"{name}.")
         if not isinstance(part, Success):
             return part
         parts[name] = part.unwrap()
     classes: dict[str, ClassTable] = {}
     for name, values in table.get("class", {}).items():
-        read = read_table(values, ClassTable, text, f"class.{name}.")
+        read = convert_table(values, ClassTable, text, f"class.{name}.")
         if not isinstance(read, Success):
             return read
         classes[name] = read.unwrap()
@@ -175,7 +175,7 @@
     name = document.service.name
     if not name or not name.replace("-", "").replace("_", "").isalnum():
         return TableFault(
-            find_line(text, "service.name"),
+            find_key_line(text, "service.name"),
             "service.name",
             f"{name!r} is not a name",
             "use letters, digits, '-' and '_'",
@@ -194,7 +194,7 @@
             if bound and not bound.low <= value <= bound.high:
                 dotted = prefix + key
                 return TableFault(
-                    find_line(text, dotted),
+                    find_key_line(text, dotted),
                     dotted,
                     f"{value} is out of range",
                     f"give a number from {bound.low} to {bound.high}",
@@ -205,7 +205,7 @@
 def _find_clash(document: ServiceDocument, text: str) -> TableFault | None:
     if document.endpoint.connections < document.endpoint.slots:
         return TableFault(
-            find_line(text, "endpoint.connections"),
+            find_key_line(text, "endpoint.connections"),
             "endpoint.connections",
             "fewer connections than slots",
             "give at least as many connections as slots",
@@ -213,7 +213,7 @@
     longest = max(item.timeout_seconds for item in document.classes.values())
     if document.endpoint.drain_seconds < longest:
         return TableFault(
-            find_line(text, "endpoint.drain_seconds"),
+            find_key_line(text, "endpoint.drain_seconds"),
             "endpoint.drain_seconds",
             "shorter than the longest timeout, so a drain would cut tasks",
             f"give at least {longest:g}",
@@ -222,7 +222,7 @@
         if item.timeout_seconds > item.deadline_seconds:
             key = f"class.{name}.timeout_seconds"
             return TableFault(
-                find_line(text, key),
+                find_key_line(text, key),
                 key,
                 "longer than the deadline",
                 "give a timeout no longer than deadline_seconds",
--- a/src/godwitbank/_internal/models/messages.py
+++ b/src/godwitbank/_internal/models/messages.py
@@ -128,8 +128,8 @@
     """A started task ended.
 
     :param run_time: seconds the endpoint took.
-    :param free: slots this entry may use now.
-    :param seen: starts received on this stream so far.
+    :param free_slots: slots this entry may use now.
+    :param starts_received: starts received on this stream so far.
     """
 
     key: TaskKey
@@ -138,8 +138,8 @@
     content_type: str
     body: bytes
     run_time: float
-    free: int
-    seen: int
+    free_slots: int
+    starts_received: int
 
 
 class Refused(NamedTuple):
@@ -147,8 +147,8 @@
 
     key: TaskKey
     reason: str
-    free: int
-    seen: int
+    free_slots: int
+    starts_received: int
 
 
 class Cancel(NamedTuple):
@@ -190,12 +190,12 @@
 class Load(NamedTuple):
     """How many slots the entry may use now.
 
-    :param seen: starts received on this stream so far, so that the entry can
+    :param starts_received: starts received on this stream so far, so that the entry can
         subtract those still on their way.
     """
 
-    free: int
-    seen: int
+    free_slots: int
+    starts_received: int
 
 
 class EndpointState(NamedTuple):
@@ -223,8 +223,8 @@
     digest: int
     acknowledged: int
     failure_rate: float
-    free: int
-    seen: int
+    free_slots: int
+    starts_received: int
 
 
 class Revisions(NamedTuple):
@@ -251,12 +251,12 @@
 class PeerLoad(NamedTuple):
     """What an entry tells its peers about one service.
 
-    :param backlog: seconds of work waiting.
+    :param backlog_seconds: seconds of work waiting.
     :param demand: admitted or refused starts a second.
     """
 
     service: str
-    backlog: float
+    backlog_seconds: float
     demand: float
 
 
--- a/src/godwitbank/_internal/models/run_messages.py
+++ b/src/godwitbank/_internal/models/run_messages.py
@@ -12,7 +12,7 @@
     :param expected: run time expected, in seconds.
     :param spread: most runs of the task's step at this endpoint; 0: any.
     :param checkpoint: where to resume, or an empty string.
-    :param parks: whether it may wait at the agent for room. Otherwise it comes back
+    :param may_park: whether it may wait at the agent for room. Otherwise it comes back
         at once if there is none: its entry may know of room elsewhere.
     :param sent_at: what the agent's clock showed at least when this was sent. It tells
         the order's age, and proves that its entry lived then.
@@ -28,7 +28,7 @@
     expected: float
     spread: int
     checkpoint: str
-    parks: bool
+    may_park: bool
     sent_at: float
 
 
@@ -84,8 +84,8 @@
 class EndpointNews(NamedTuple):
     """What stands behind an agent.
 
-    :param open: whether it takes new runs.
-    :param settled: whether everything a former agent had started is gone.
+    :param accepts_runs: whether it takes new runs.
+    :param reconciled: whether everything a former agent had started is gone.
     :param cold: whether runs take longer there for a while after its start.
     """
 
@@ -95,8 +95,8 @@
     memory: int
     gpu: int
     labels: list[str]
-    open: bool
-    settled: bool
+    accepts_runs: bool
+    reconciled: bool
     cold: bool
 
 
@@ -104,14 +104,14 @@
     """Free resources at an endpoint, less what waits for them at its agent.
 
     :param parked: runs that wait at the agent.
-    :param seen: ``StartRun`` frames received on this stream so far.
+    :param starts_received: ``StartRun`` frames received on this stream so far.
     """
 
     cpu: int
     memory: int
     gpu: int
     parked: int
-    seen: int
+    starts_received: int
 
 
 class Pulse(NamedTuple):
@@ -227,7 +227,7 @@
     """Serve a job whose caller came to the sender.
 
     :param steps: the job's steps, each as a list of its fields.
-    :param patience: seconds its caller waits.
+    :param timeout_seconds: seconds its caller waits.
     :param acquired: whether the sender had acquired the job; its right goes along.
     """
 
@@ -235,7 +235,7 @@
     queue: str
     payload: str
     steps: list[list]
-    patience: float
+    timeout_seconds: float
     acquired: bool
 
 
@@ -270,21 +270,22 @@
 class Claimed(NamedTuple):
     """What runs of a job here by the orders of others was told to stop.
 
-    :param over: whether nothing of it is left, nor will be; else another message
+    :param all_ended: whether nothing of it is left, nor will be; else another message
         follows once that is so.
-    :param lost: whether another entry claimed the job at the same moment, and has it.
+    :param claim_lost: whether another entry claimed the job at the same moment and
+        has it.
     """
 
     job: str
-    over: bool
-    lost: bool
+    all_ended: bool
+    claim_lost: bool
 
 
 class Acquire(NamedTuple):
     """Ask the job's home whether an entry may start it.
 
     :param owner: incarnation of the entry that wants it.
-    :param number: counts the owner's requests.
+    :param request_number: counts the owner's requests.
     :param acting: whether the receiver decides in place of the job's home, which has
         just joined and doesn't know yet who has what.
     :param hops: how often it may still be passed on.
@@ -292,7 +293,7 @@
 
     job: str
     owner: str
-    number: int
+    request_number: int
     acting: bool
     hops: int
 
@@ -300,28 +301,29 @@
 class Acquired(NamedTuple):
     """The home's answer.
 
-    :param asker: incarnation of the entry that wanted the job.
-    :param number: of the request.
+    :param requester: incarnation of the entry that wanted the job.
+    :param request_number: of the request.
     :param owner: incarnation of the entry that has it; the asker's if it may start;
         empty if it has to ask again.
     """
 
     job: str
-    asker: str
-    number: int
+    requester: str
+    request_number: int
     owner: str
 
 
 class Release(NamedTuple):
     """Tell the home of jobs that nothing of them is left at an entry.
 
-    :param numbers: of the requests by which it had them; 0 where it never asked.
+    :param request_numbers: of the requests by which it had them; 0 where it never
+        asked.
     :param owner: the entry's incarnation.
     :param hops: how often it may still be passed on.
     """
 
     jobs: list[str]
-    numbers: list[int]
+    request_numbers: list[int]
     owner: str
     hops: int
 
@@ -331,8 +333,8 @@
 
     ``Forwarded`` tells the result; ``Yielded`` that the receiver doesn't have it.
 
-    :param patience: seconds the caller waits.
+    :param timeout_seconds: seconds the caller waits.
     """
 
     job: str
-    patience: float
+    timeout_seconds: float
--- a/src/godwitbank/_internal/models/settings.py
+++ b/src/godwitbank/_internal/models/settings.py
@@ -8,9 +8,9 @@
 from godwitbank._internal.exceptions import SettingsError
 from godwitbank._internal.utils.tables import (
     TableFault,
-    find_line,
-    parse_text,
-    read_table,
+    convert_table,
+    find_key_line,
+    parse_toml,
 )
 
 
@@ -72,7 +72,7 @@
     seed: int = 0
 
 
-MIN_HEARTBEATS = 2
+MIN_HEARTBEATS_PER_TIMEOUT = 2
 """Heartbeats that must fit into the silence after which a stream is closed."""
 
 S = TypeVar("S", EntrySettings, AgentSettings)
@@ -106,13 +106,13 @@
 ) -> TableFault | None:
     heartbeat = settings.heartbeat
     silence = settings.silence
-    if 0 < heartbeat <= silence / MIN_HEARTBEATS:
+    if 0 < heartbeat <= silence / MIN_HEARTBEATS_PER_TIMEOUT:
         return None
     return TableFault(
-        find_line(text, "heartbeat"),
+        find_key_line(text, "heartbeat"),
         "heartbeat",
         f"{heartbeat} s is not above 0 and well below silence ({silence} s)",
-        f"give at most silence / {MIN_HEARTBEATS}",
+        f"give at most silence / {MIN_HEARTBEATS_PER_TIMEOUT}",
     )
 
 
@@ -129,7 +129,7 @@
             context=path,
             remedy="give --settings the path of a readable TOML file",
         ) from None
-    result = parse_text(text).bind(lambda table: read_table(table, shape, text))
+    result = parse_toml(text).bind(lambda table: convert_table(table, shape, text))
     fault = None if isinstance(result, Success) else result.failure()
     if fault is None:
         fault = _check_address(result.unwrap(), text)
--- a/src/godwitbank/_internal/network/codec.py
+++ b/src/godwitbank/_internal/network/codec.py
@@ -10,7 +10,7 @@
 from godwitbank._internal.models.messages import REGISTRY, Message
 from godwitbank._internal.models.tasks import TaskKey
 
-MAX_FRAME = 8 * 1024 * 1024
+MAX_FRAME_BYTES = 8 * 1024 * 1024
 """Bytes of the longest frame; a longer length field is garbage."""
 
 _LENGTH = struct.Struct(">I")
@@ -91,7 +91,7 @@
         try:
             while len(self._buffer) - start >= _LENGTH.size:
                 (length,) = _LENGTH.unpack_from(self._buffer, start)
-                if length > MAX_FRAME:
+                if length > MAX_FRAME_BYTES:
                     raise FrameError(
                         "a frame is too long",
                         context=f"{length} bytes",
--- a/src/godwitbank/_internal/network/endpoint.py
+++ b/src/godwitbank/_internal/network/endpoint.py
@@ -9,10 +9,10 @@
 from godwitbank._internal.core.events import RunEnded, RunTask
 from godwitbank._internal.models.messages import Ending
 
-MAX_ANSWER = 4 * 1024 * 1024
+MAX_RESPONSE_BYTES = 4 * 1024 * 1024
 """Bytes of the longest answer taken from an endpoint."""
 
-JSON = "application/json"
+JSON_CONTENT_TYPE = "application/json"
 
 
 class EndpointClient:
@@ -32,7 +32,7 @@
         """Call the endpoint; every way it can go ends in a ``RunEnded``."""
         began = time.monotonic()
         headers = {
-            "Content-Type": JSON,
+            "Content-Type": JSON_CONTENT_TYPE,
             "Godwitbank-Task": f"{task.key.submission}:{task.key.position}",
             "Godwitbank-Class": task.class_name,
         }
@@ -68,10 +68,10 @@
 def _check_answer(task: RunTask, answer: httpx.Response, began: float) -> RunEnded:
     body = answer.content
     kind = answer.headers.get("Content-Type", "application/octet-stream")
-    if len(body) > MAX_ANSWER:
+    if len(body) > MAX_RESPONSE_BYTES:
         detail = f"the answer has {len(body)} bytes"
         return _end(task, Ending.ENDPOINT_FAILED, detail, began)
-    if kind.startswith(JSON):
+    if kind.startswith(JSON_CONTENT_TYPE):
         try:
             msgspec.json.decode(body)
         except msgspec.DecodeError as error:
--- a/src/godwitbank/_internal/network/http_client.py
+++ b/src/godwitbank/_internal/network/http_client.py
@@ -14,14 +14,14 @@
 
 import httptools
 
-CONNECT_SECONDS = 0.2
+CONNECT_TIMEOUT_SECONDS = 0.2
 """Longest wait for a connection; one to the same VM or the store takes some ms."""
 
-QUIET_SECONDS = 0.25
+UNRESPONSIVE_SECONDS = 0.25
 """Seconds without a byte from a server after which all its connections may be silent;
 one that runs tasks is heard more often."""
 
-MAX_RESPONSE = 4 * 1024 * 1024
+MAX_RESPONSE_BYTES = 4 * 1024 * 1024
 """Bytes of the longest answer; a longer one is no answer."""
 
 
@@ -70,7 +70,7 @@
         """Collect a part of the answer."""
         self._parts.append(body)
         self._size += len(body)
-        if self._size > MAX_RESPONSE:
+        if self._size > MAX_RESPONSE_BYTES:
             self._fail("too long")
 
     def on_message_complete(self) -> None:
@@ -164,7 +164,7 @@
     async def _connect(self) -> _Connection:
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(CONNECT_SECONDS):
+            async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                 _, connection = await loop.create_connection(
                     lambda: _Connection(self._hear), self._host, int(self._port)
                 )
@@ -198,7 +198,7 @@
         one may have silenced all, and each idle one would cost one more call its time.
         """
         connection.close()
-        quiet_since = min(sent_at, _read_clock() - QUIET_SECONDS)
+        quiet_since = min(sent_at, _read_clock() - UNRESPONSIVE_SECONDS)
         if self._heard_at <= quiet_since:
             self.close()
 
--- a/src/godwitbank/_internal/network/streams.py
+++ b/src/godwitbank/_internal/network/streams.py
@@ -14,14 +14,14 @@
 from godwitbank._internal.models.messages import Hello, Message, Welcome
 from godwitbank._internal.network.codec import FrameReader, encode
 
-CONNECT_SECONDS = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 """Longest wait for a TCP connection."""
 
-GREETING_SECONDS = 2.0
+GREETING_TIMEOUT_SECONDS = 2.0
 """Longest wait for the other side to introduce itself."""
 
 
-class StreamEvents(NamedTuple):
+class StreamCallbacks(NamedTuple):
     """Where a stream delivers what happens to it.
 
     :param deliver: puts an event into the owner's inbox.
@@ -38,7 +38,7 @@
     _numbers = itertools.count(1)
 
     def __init__(
-        self, events: StreamEvents, greeting: Hello | None = None, address: str = ""
+        self, events: StreamCallbacks, greeting: Hello | None = None, address: str = ""
     ) -> None:
         self.number = next(self._numbers)
         self._events = events
@@ -49,15 +49,17 @@
         self._closed = False
         self._transport: asyncio.Transport | None = None
         self._timeout: asyncio.TimerHandle | None = None
-        self.register: Callable[[FrameStream], None] = lambda stream: None
+        self.on_connected: Callable[[FrameStream], None] = lambda stream: None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Greet, and wait a bounded time to be greeted."""
         # Loops of other libraries have transports of their own classes.
         self._transport = cast(asyncio.Transport, transport)
-        self.register(self)
+        self.on_connected(self)
         loop = asyncio.get_running_loop()
-        self._timeout = loop.call_later(GREETING_SECONDS, self._give_up_greeting)
+        self._timeout = loop.call_later(
+            GREETING_TIMEOUT_SECONDS, self._give_up_greeting
+        )
         if self._own_greeting is not None:
             self.write([self._own_greeting])
 
@@ -134,16 +136,16 @@
 class StreamTable:
     """The open streams of one process."""
 
-    def __init__(self, events: StreamEvents, greeting: Hello) -> None:
+    def __init__(self, events: StreamCallbacks, greeting: Hello) -> None:
         self._events = events
         self._greeting = greeting
         self._streams: dict[int, FrameStream] = {}
         self._dials: set[asyncio.Task[None]] = set()
 
-    def make_accepted(self) -> FrameStream:
+    def make_accepted_stream(self) -> FrameStream:
         """Make the protocol of an accepted connection."""
         stream = FrameStream(self._events)
-        stream.register = self._register
+        stream.on_connected = self._register
         return stream
 
     def _register(self, stream: FrameStream) -> None:
@@ -161,11 +163,11 @@
 
         def make() -> FrameStream:
             stream = FrameStream(self._events, self._greeting, address)
-            stream.register = self._register
+            stream.on_connected = self._register
             return stream
 
         try:
-            async with asyncio.timeout(CONNECT_SECONDS):
+            async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                 await loop.create_connection(make, host, int(port))
         except (OSError, TimeoutError):
             self._events.deliver(StreamClosed(0, address))
@@ -176,23 +178,23 @@
         if found is not None:
             found.write(messages)
 
-    def close(self, stream: int, silent: bool) -> None:
+    def close(self, stream: int, timed_out: bool) -> None:
         """Close a stream; one that fell silent is cut without flushing."""
         found = self._streams.pop(stream, None)
         if found is None:
             return
-        if silent:
+        if timed_out:
             found.abort()
         else:
             found.close()
 
-    def forget(self, stream: int) -> None:
+    def remove(self, stream: int) -> None:
         """Drop a stream that has ended."""
         self._streams.pop(stream, None)
 
     def close_all(self) -> None:
         """Close every stream."""
         for stream in list(self._streams):
-            self.close(stream, silent=False)
+            self.close(stream, timed_out=False)
         for task in self._dials:
             task.cancel()
--- a/src/godwitbank/_internal/network/table.py
+++ b/src/godwitbank/_internal/network/table.py
@@ -11,8 +11,8 @@
 
 from godwitbank._internal.exceptions import TableError
 
-READ_SECONDS = 1.0
-WRITE_SECONDS = 1.5
+READ_TIMEOUT_SECONDS = 1.0
+WRITE_TIMEOUT_SECONDS = 1.5
 
 
 class Row(NamedTuple):
@@ -52,7 +52,7 @@
 
         :raises TableError: when the service gives no usable answer.
         """
-        body = await self._call("GET", f"/v1/rows/{key}", READ_SECONDS, None)
+        body = await self._call("GET", f"/v1/rows/{key}", READ_TIMEOUT_SECONDS, None)
         return Row(key, int(body["version"]), body["value"])
 
     async def write(self, puts: list[Put], ttl: float = 0.0) -> Conflict | None:
@@ -63,7 +63,9 @@
         :raises TableError: when it isn't known whether it committed.
         """
         request = {"puts": puts, "ttl": ttl}
-        body = await self._call("POST", "/v1/transactions", WRITE_SECONDS, request)
+        body = await self._call(
+            "POST", "/v1/transactions", WRITE_TIMEOUT_SECONDS, request
+        )
         if body["committed"]:
             return None
         rows = {
@@ -78,7 +80,7 @@
         :raises TableError: when it isn't known whether it committed.
         """
         request = {"deletes": values}
-        await self._call("POST", "/v1/deletions", WRITE_SECONDS, request)
+        await self._call("POST", "/v1/deletions", WRITE_TIMEOUT_SECONDS, request)
 
     async def close(self) -> None:
         """Close the connections."""
--- a/src/godwitbank/_internal/operations/agent.py
+++ b/src/godwitbank/_internal/operations/agent.py
@@ -33,7 +33,7 @@
 from godwitbank._internal.models.settings import AgentSettings, parse_address
 from godwitbank._internal.network.codec import FrameReader, encode
 from godwitbank._internal.network.endpoint import EndpointClient
-from godwitbank._internal.network.streams import StreamEvents, StreamTable
+from godwitbank._internal.network.streams import StreamCallbacks, StreamTable
 from godwitbank._internal.operations.inbox import Inbox, wait_unless_failed
 from godwitbank._internal.operations.metrics import Exporter
 from godwitbank._internal.operations.server import HttpServer
@@ -65,7 +65,7 @@
             self.core, self._perform, lambda: self.core.next_wakeup, time.monotonic
         )
         self._greeting = make_hello(identity, Role.AGENT)
-        events = StreamEvents(self._inbox.put, self.core.counts.add)
+        events = StreamCallbacks(self._inbox.put, self.core.counts.add)
         self._streams = StreamTable(events, self._greeting)
 
     # What the HTTP application calls
@@ -170,7 +170,7 @@
             loop.add_signal_handler(number, self._stopping.set)
         owner = asyncio.create_task(self._inbox.run())
         server = await loop.create_server(
-            self._streams.make_accepted, sock=stream_socket
+            self._streams.make_accepted_stream, sock=stream_socket
         )
         http = HttpServer(make_app(self), http_socket)
         await http.start()
--- a/src/godwitbank/_internal/operations/entry.py
+++ b/src/godwitbank/_internal/operations/entry.py
@@ -35,7 +35,7 @@
 from godwitbank._internal.models.outcomes import Failed, Outcome, Ran, Reason
 from godwitbank._internal.models.settings import EntrySettings
 from godwitbank._internal.models.tasks import Submission, TaskSpec
-from godwitbank._internal.network.streams import StreamEvents, StreamTable
+from godwitbank._internal.network.streams import StreamCallbacks, StreamTable
 from godwitbank._internal.network.table import Put, TableClient
 from godwitbank._internal.operations.inbox import Inbox, wait_unless_failed
 from godwitbank._internal.operations.lag import ENTRY_PERIOD, LagMeter
@@ -77,7 +77,7 @@
             self.core, self._perform, lambda: self.core.next_wakeup, time.monotonic
         )
         greeting = make_hello(identity, Role.ENTRY)
-        events = StreamEvents(self._inbox.put, self.core.counts.add)
+        events = StreamCallbacks(self._inbox.put, self.core.counts.add)
         self._streams = StreamTable(events, greeting)
         self.pressure = Pressure()
         self._lag = LagMeter(ENTRY_PERIOD, time.monotonic, self.hear_lag)
@@ -253,7 +253,7 @@
         poller = asyncio.create_task(self._poll_table())
         self._lag.start()
         server = await loop.create_server(
-            self._streams.make_accepted, sock=stream_socket
+            self._streams.make_accepted_stream, sock=stream_socket
         )
         http = HttpServer(make_app(self), http_socket)
         await http.start()
--- a/src/godwitbank/_internal/operations/run_entry.py
+++ b/src/godwitbank/_internal/operations/run_entry.py
@@ -32,7 +32,7 @@
     JobSpec,
 )
 from godwitbank._internal.models.messages import Message, Role
-from godwitbank._internal.network.streams import StreamEvents, StreamTable
+from godwitbank._internal.network.streams import StreamCallbacks, StreamTable
 from godwitbank._internal.operations.clocks import read_boot_time
 from godwitbank._internal.operations.decisions import DecisionLog
 from godwitbank._internal.operations.inbox import Inbox, wait_unless_failed
@@ -69,7 +69,7 @@
             self.core, self._perform, lambda: self.core.next_wakeup, read_boot_time
         )
         self._lag = LagMeter(ENTRY_PERIOD, read_boot_time, self._hear_lag)
-        events = StreamEvents(self._inbox.put, self.core.counts.add)
+        events = StreamCallbacks(self._inbox.put, self.core.counts.add)
         self.streams = StreamTable(events, make_hello(identity, Role.ENTRY))
 
     # What the HTTP application and the store's watcher call
--- a/src/godwitbank/_internal/platform/entry_program.py
+++ b/src/godwitbank/_internal/platform/entry_program.py
@@ -39,7 +39,9 @@
     watch_settings(process, log)
     loop = asyncio.get_running_loop()
     listener = bind(stream_bind or settings.stream, "port-range")
-    server = await loop.create_server(process.streams.make_accepted, sock=listener)
+    server = await loop.create_server(
+        process.streams.make_accepted_stream, sock=listener
+    )
     process.learn_entries(settings.seeds)
     store = StoreClient(StoreCalls(settings.store), settings.name, log, counts)
     subscriber = Subscriber(process.evacuate, process.install, process.count_entries)
--- a/src/godwitbank/_internal/utils/tables.py
+++ b/src/godwitbank/_internal/utils/tables.py
@@ -28,10 +28,10 @@
         return f"{place}key '{self.key}': {self.problem}; {self.remedy}"
 
 
-def parse_text(text: str) -> Result[dict[str, Any], TableFault]:
+def parse_toml(text: str) -> Result[dict[str, Any], TableFault]:
     """Parse TOML.
 
-    >>> parse_text("a = 1").unwrap()
+    >>> parse_toml("a = 1").unwrap()
     {'a': 1}
     """
     try:
@@ -40,10 +40,10 @@
         return Failure(TableFault(0, "", f"not TOML: {error}", "mend the syntax"))
 
 
-def find_line(text: str, key: str) -> int:
+def find_key_line(text: str, key: str) -> int:
     r"""Find the line that sets or opens the last part of a dotted key.
 
-    >>> find_line("[a]\nb = 1\n", "a.b")
+    >>> find_key_line("[a]\nb = 1\n", "a.b")
     2
     """
     parts = key.split(".")
@@ -82,7 +82,7 @@
     return isinstance(value, kind)
 
 
-def read_table(
+def convert_table(
     values: Mapping[str, Any], shape: type, text: str, prefix: str = ""
 ) -> Result[Any, TableFault]:
     """Build ``shape`` (a ``NamedTuple`` class) from a parsed table.
@@ -98,7 +98,7 @@
         if key not in hints:
             allowed = ", ".join(sorted(hints))
             dotted = prefix + key
-            line = find_line(text, dotted)
+            line = find_key_line(text, dotted)
             return Failure(
                 TableFault(line, dotted, "unknown key", f"use one of: {allowed}")
             )
@@ -113,7 +113,7 @@
             continue
         value = values[key]
         if not _fits(value, kind):
-            line = find_line(text, dotted)
+            line = find_key_line(text, dotted)
             return Failure(
                 TableFault(
                     line, dotted, f"{value!r} is wrong", f"give {_name_type(kind)}"
--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -422,7 +422,7 @@
     Break(
         "a run waits for room that is gone",
         f"{LEASED}/runner.py",
-        "if not order.parks and not self._has_room(held):",
+        "if not order.may_park and not self._has_room(held):",
         "if False:",
         f"{RUNS}/test_failures.py::"
         "test_two_entries_that_choose_the_same_room_find_other_room_at_once",
--- a/tests/core/runs/test_status_updates.py
+++ b/tests/core/runs/test_status_updates.py
@@ -84,7 +84,7 @@
 
 def test_news_of_the_endpoint_never_wait() -> None:
     bulletins = make_told(make_room(16000))
-    closed = NEWS._replace(open=False)
+    closed = NEWS._replace(accepts_runs=False)
     assert list_due(bulletins, make_room(9000), NOW + 0.001, closed) == [closed]
 
 
--- a/tests/network/test_http_client.py
+++ b/tests/network/test_http_client.py
@@ -6,7 +6,7 @@
 import pytest
 
 from godwitbank._internal.network.http_client import (
-    QUIET_SECONDS,
+    UNRESPONSIVE_SECONDS,
     HttpClient,
     NoAnswerError,
     UnreachableError,
@@ -195,7 +195,7 @@
             assert server.connections == 2
             server.silence()
             with pytest.raises(NoAnswerError):
-                await post(server.client, QUIET_SECONDS + SOON)
+                await post(server.client, UNRESPONSIVE_SECONDS + SOON)
             assert await post(server.client) == b"ok"
             assert server.connections == 3
 
