--- a/src/godwitbank/_internal/core/runs/agent.py
+++ b/src/godwitbank/_internal/core/runs/agent.py
@@ -469,7 +469,7 @@
             self.links, typical_cpu, self._now
         ):
             room = Room(*free, self.held_runs.parked, link.received)
-            link_news = news._replace(open=False) if link.leaving else news
+            link_news = news._replace(accepts_runs=False) if link.leaving else news
             immediate = link.stream in streams_with_outcomes
             for due in self._status_updates.list_due(link, link_news, room, immediate):
                 self._send(link.stream, due)
--- a/src/godwitbank/_internal/core/runs/dispatcher.py
+++ b/src/godwitbank/_internal/core/runs/dispatcher.py
@@ -543,7 +543,7 @@
                 self._orphaned.remove(task)
                 task.state = TaskState.SENT
                 view.add_run(task, self._now)
-            elif view.news is not None and view.news.settled:
+            elif view.news is not None and view.news.reconciled:
                 self._release_orphan(task)
 
     def release_orphaned_runs(self, view: AgentView) -> None:
--- a/src/godwitbank/_internal/core/runs/handover.py
+++ b/src/godwitbank/_internal/core/runs/handover.py
@@ -389,8 +389,8 @@
         """Process the answer of a job's home to a request."""
         self.homes.handle_answer(link.stream, message)
         pending = self._pending_requests.get(message.job)
-        own = message.asker == self._links.own_incarnation
-        if not own or pending is None or pending.number != message.number:
+        own = message.requester == self._links.own_incarnation
+        if not own or pending is None or pending.number != message.request_number:
             return
         if not message.owner:
             self._pending_requests[message.job] = pending._replace(stream=RETRY_STREAM)
@@ -484,13 +484,16 @@
         delayed = self._delayed.get(message.job)
         if delayed is None or not delayed.claim_sent:
             return
-        if message.lost:
+        if message.claim_lost:
             del self._delayed[message.job]
             self._release(message.job)
             if not delayed.abandoned:
                 self._give_up_possibly_run(delayed.job, "claimed_elsewhere")
             return
-        if delayed.handle_claimed(view.stream, message.over) and self._all_agents_known:
+        if (
+            delayed.handle_claimed(view.stream, message.all_ended)
+            and self._all_agents_known
+        ):
             self._start_now(delayed)
 
     @property
--- a/src/godwitbank/_internal/core/runs/homes.py
+++ b/src/godwitbank/_internal/core/runs/homes.py
@@ -313,7 +313,7 @@
         """Record and relay that no run of some jobs is left at an entry."""
         owner, hops = release.owner, release.hops
         relayed: dict[int, dict[str, int]] = {}
-        for job, number in zip(release.jobs, release.numbers, strict=False):
+        for job, number in zip(release.jobs, release.request_numbers, strict=False):
             self._record_release(job, owner, number)
             route = self.find_route(job)
             if route is not None and route.stream and hops:
--- a/src/godwitbank/_internal/core/runs/runner.py
+++ b/src/godwitbank/_internal/core/runs/runner.py
@@ -205,7 +205,7 @@
             self._refuse(run, RunEnd.CLOSED, "closed")
         elif not run.needs.fits(self.held_runs.capacity):
             self._refuse(run, RunEnd.INVALID, "too_large")
-        elif not order.parks and not self._has_free_capacity(run):
+        elif not order.may_park and not self._has_free_capacity(run):
             # Two entries chose this agent for the same free capacity.
             self._refuse(run, RunEnd.NOT_STARTED, "room")
         else:
--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -419,7 +419,7 @@
     Break(
         "a run waits for room that is gone",
         f"{LEASED}/runner.py",
-        "if not order.parks and not self._has_free_capacity(run):",
+        "if not order.may_park and not self._has_free_capacity(run):",
         "if False:",
         f"{RUNS}/test_failures.py::"
         "test_two_entries_that_choose_one_endpoint_both_start_immediately",
