--- a/src/godwitbank/_internal/http/agent.py
+++ b/src/godwitbank/_internal/http/agent.py
@@ -7,14 +7,14 @@
 
 from godwitbank._internal.core.agent import AgentCore
 from godwitbank._internal.http.problems import (
-    METRICS_TYPE,
+    METRICS_MEDIA_TYPE,
     handle_http_error,
-    make_fault,
+    make_request_problem,
 )
 from godwitbank._internal.models.document import MAX_SLOTS
 from godwitbank._internal.operations.metrics import Exporter
 
-MAX_LEASE = 60.0
+MAX_LEASE_SECONDS = 60.0
 
 
 class Announcement(TypedDict):
@@ -42,8 +42,8 @@
         return f"slots lie between 1 and {MAX_SLOTS}"
     if announcement["connections"] < announcement["slots"]:
         return "fewer connections than slots"
-    if not 0 < announcement["lease_seconds"] <= MAX_LEASE:
-        return f"lease_seconds lie between 0 and {MAX_LEASE:g}"
+    if not 0 < announcement["lease_seconds"] <= MAX_LEASE_SECONDS:
+        return f"lease_seconds lie between 0 and {MAX_LEASE_SECONDS:g}"
     return None
 
 
@@ -53,10 +53,10 @@
     core: AgentCore
     exporter: Exporter
 
-    async def announce(self, announcement: Announcement) -> None:
+    async def handle_announcement(self, announcement: Announcement) -> None:
         """Take what the endpoint says of itself."""
 
-    async def leave(self) -> None:
+    async def handle_departure(self) -> None:
         """Let the endpoint leave."""
 
 
@@ -67,13 +67,15 @@
     async def announce(data: Announcement) -> Response[bytes] | dict[str, Any]:
         fault = _find_fault(data)
         if fault is not None:
-            return make_fault(422, "wrong_announcement", fault, "mend the body")
-        await process.announce(data)
+            return make_request_problem(
+                422, "wrong_announcement", fault, "mend the body"
+            )
+        await process.handle_announcement(data)
         return process.core.describe()
 
     @delete("/v1/endpoint", summary="Say that the endpoint leaves.", status_code=200)
     async def leave() -> dict[str, Any]:
-        await process.leave()
+        await process.handle_departure()
         return process.core.describe()
 
     @get("/v1/endpoint", summary="Show the agent's state.")
@@ -86,7 +88,7 @@
 
     @get("/metrics", summary="Counters and percentiles.", media_type="text/plain")
     async def show_metrics() -> Response[bytes]:
-        return Response(process.exporter.render(), media_type=METRICS_TYPE)
+        return Response(process.exporter.render(), media_type=METRICS_MEDIA_TYPE)
 
     return Litestar(
         route_handlers=[announce, leave, show, show_health, show_metrics],
--- a/src/godwitbank/_internal/http/bodies.py
+++ b/src/godwitbank/_internal/http/bodies.py
@@ -10,11 +10,11 @@
 from godwitbank._internal.models.tasks import MAX_TASKS, TaskSpec
 from godwitbank._internal.utils.decoding import decode_json
 
-MAX_NAME = 200
+MAX_NAME_CHARACTERS = 200
 """Longest task id, class name or request id, in characters."""
 
-MAX_SECONDS = 3600.0
-JSON = "application/json"
+MAX_DEADLINE_SECONDS = 3600.0
+JSON_MEDIA_TYPE = "application/json"
 
 
 TaskBody = TypedDict(
@@ -47,22 +47,22 @@
     deadline_seconds: NotRequired[float]
 
 
-class Parsed(NamedTuple):
+class ParsedSubmission(NamedTuple):
     """A submission ready for the core.
 
-    :param seconds: the caller's deadline, or 0 for the document's.
+    :param deadline_seconds: the caller's deadline, or 0 for the document's.
     """
 
-    names: tuple[str, ...]
+    task_ids: tuple[str, ...]
     tasks: tuple[TaskSpec, ...]
-    seconds: float
+    deadline_seconds: float
 
 
 _job_decoder = msgspec.json.Decoder(JobBody)
 _request_decoder = msgspec.json.Decoder(RequestBody)
 
 
-def parse_job(body: bytes) -> Result[Parsed, str]:
+def parse_job(body: bytes) -> Result[ParsedSubmission, str]:
     """Parse a job; the failure says what is wrong."""
     try:
         job = decode_json(_job_decoder, body)
@@ -78,10 +78,10 @@
     request_ids = [spec.request_id for spec in specs if spec.request_id]
     if len(set(request_ids)) != len(request_ids):
         return Failure("two tasks have the same request_id")
-    return _check(Parsed(names, specs, job.get("deadline_seconds", 0.0)))
+    return _check(ParsedSubmission(names, specs, job.get("deadline_seconds", 0.0)))
 
 
-def parse_request(body: bytes, key: str) -> Result[Parsed, str]:
+def parse_request(body: bytes, key: str) -> Result[ParsedSubmission, str]:
     """Parse a single request.
 
     :param key: value of the ``Idempotency-Key`` header, or empty.
@@ -94,7 +94,9 @@
     if key and spec.request_id and key != spec.request_id:
         return Failure("request_id and Idempotency-Key differ")
     spec = spec._replace(request_id=spec.request_id or key)
-    return _check(Parsed(("request",), (spec,), request.get("deadline_seconds", 0.0)))
+    return _check(
+        ParsedSubmission(("request",), (spec,), request.get("deadline_seconds", 0.0))
+    )
 
 
 def _make_spec(task: "TaskBody | RequestBody") -> TaskSpec:
@@ -102,19 +104,21 @@
     return TaskSpec(task["class"], payload, task.get("request_id", ""))
 
 
-def _check(parsed: Parsed) -> Result[Parsed, str]:
-    for name in (*parsed.names, *(task.class_name for task in parsed.tasks)):
-        if not 1 <= len(name) <= MAX_NAME:
-            return Failure(f"ids and class names have 1 to {MAX_NAME} characters")
-    if any(len(task.request_id) > MAX_NAME for task in parsed.tasks):
-        return Failure(f"request ids have at most {MAX_NAME} characters")
-    seconds = parsed.seconds
-    if not math.isfinite(seconds) or not 0 <= seconds <= MAX_SECONDS:
-        return Failure(f"deadline_seconds lies between 0 and {MAX_SECONDS:g}")
+def _check(parsed: ParsedSubmission) -> Result[ParsedSubmission, str]:
+    for name in (*parsed.task_ids, *(task.class_name for task in parsed.tasks)):
+        if not 1 <= len(name) <= MAX_NAME_CHARACTERS:
+            return Failure(
+                f"ids and class names have 1 to {MAX_NAME_CHARACTERS} characters"
+            )
+    if any(len(task.request_id) > MAX_NAME_CHARACTERS for task in parsed.tasks):
+        return Failure(f"request ids have at most {MAX_NAME_CHARACTERS} characters")
+    seconds = parsed.deadline_seconds
+    if not math.isfinite(seconds) or not 0 <= seconds <= MAX_DEADLINE_SECONDS:
+        return Failure(f"deadline_seconds lies between 0 and {MAX_DEADLINE_SECONDS:g}")
     return Success(parsed)
 
 
-def encode_job(
+def encode_job_answer(
     submission: str, names: tuple[str, ...], answers: tuple[TaskAnswer, ...]
 ) -> bytes:
     """Encode the whole answer to a job."""
@@ -134,6 +138,6 @@
 def _embed(answer: TaskAnswer) -> object:
     # The agent has checked that a JSON answer is JSON; splicing it in unparsed
     # keeps numbers and key order exactly as the endpoint wrote them.
-    if answer.content_type.startswith(JSON):
+    if answer.content_type.startswith(JSON_MEDIA_TYPE):
         return msgspec.Raw(answer.body)
     return answer.body.decode("utf-8", errors="replace")
--- a/src/godwitbank/_internal/http/entry.py
+++ b/src/godwitbank/_internal/http/entry.py
@@ -15,28 +15,28 @@
 from godwitbank._internal.core.entry import EntryCore
 from godwitbank._internal.exceptions import ConflictError, TableError
 from godwitbank._internal.http.bodies import (
-    JSON,
-    Parsed,
-    encode_job,
+    JSON_MEDIA_TYPE,
+    ParsedSubmission,
+    encode_job_answer,
     parse_job,
     parse_request,
 )
 from godwitbank._internal.http.disconnect import await_disconnect
 from godwitbank._internal.http.problems import (
-    METRICS_TYPE,
+    METRICS_MEDIA_TYPE,
     handle_http_error,
-    make_fault,
     make_problem,
+    make_request_problem,
 )
 from godwitbank._internal.models.document import ServiceDocument
 from godwitbank._internal.models.outcomes import Complete, Failed, Outcome
 from godwitbank._internal.models.settings import EntrySettings
 from godwitbank._internal.models.tasks import TaskSpec
 from godwitbank._internal.operations.metrics import Exporter
-from godwitbank._internal.operations.registry import Application, Registry
+from godwitbank._internal.operations.registry import ApplyRequest, DocumentRegistry
 from godwitbank._internal.operations.status import describe_entry
 
-MAX_DOCUMENT = 256 * 1024
+MAX_DOCUMENT_BYTES = 256 * 1024
 Header = Annotated[str, HeaderParameter(name="Idempotency-Key")]
 
 
@@ -45,7 +45,7 @@
 
     core: EntryCore
     exporter: Exporter
-    registry: Registry
+    registry: DocumentRegistry
     settings: EntrySettings
     stopping: asyncio.Event
 
@@ -53,7 +53,9 @@
     def ready(self) -> bool:
         """Whether the balancer should send callers here."""
 
-    def find_deadline(self, service: str, tasks: tuple[TaskSpec, ...]) -> float:
+    def find_max_deadline_seconds(
+        self, service: str, tasks: tuple[TaskSpec, ...]
+    ) -> float:
         """Find the longest deadline of some tasks, in seconds."""
 
     async def submit(
@@ -70,11 +72,11 @@
 
 
 async def _await_outcome(
-    process: Entry, request: Request, service: str, parsed: Parsed
+    process: Entry, request: Request, service: str, parsed: ParsedSubmission
 ) -> Outcome:
-    seconds = process.find_deadline(service, parsed.tasks)
-    if parsed.seconds:
-        seconds = min(seconds, parsed.seconds)
+    seconds = process.find_max_deadline_seconds(service, parsed.tasks)
+    if parsed.deadline_seconds:
+        seconds = min(seconds, parsed.deadline_seconds)
     work = asyncio.ensure_future(process.submit(service, parsed.tasks, seconds))
     gone = asyncio.ensure_future(await_disconnect(request.receive))
     try:
@@ -127,16 +129,20 @@
         outcome = await _await_outcome(process, request, service, parsed)
         process.exporter.record("job", time.monotonic() - began)
         if isinstance(outcome, Complete):
-            body = encode_job(outcome.submission, parsed.names, outcome.answers)
-            return Response(body, media_type=JSON)
-        name = None if outcome.task is None else parsed.names[outcome.task]
+            body = encode_job_answer(
+                outcome.submission, parsed.task_ids, outcome.answers
+            )
+            return Response(body, media_type=JSON_MEDIA_TYPE)
+        name = None if outcome.task is None else parsed.task_ids[outcome.task]
         return make_problem(outcome, name)
 
     return [submit_request, submit_job]
 
 
 def _refuse_body(detail: str) -> Response[bytes]:
-    return make_fault(400, "malformed_body", detail, "mend the body; see /schema")
+    return make_request_problem(
+        400, "malformed_body", detail, "mend the body; see /schema"
+    )
 
 
 def _make_operator_handlers(process: Entry) -> list[Any]:
@@ -152,22 +158,26 @@
         parsed = ServiceDocument.from_text(text)
         if not isinstance(parsed, Success):
             detail = str(parsed.failure())
-            return make_fault(422, "wrong_document", detail, "mend the document")
+            return make_request_problem(
+                422, "wrong_document", detail, "mend the document"
+            )
         if parsed.unwrap().name != service:
             detail = f"the document is of {parsed.unwrap().name!r}"
-            return make_fault(422, "wrong_service", detail, "apply it to its service")
+            return make_request_problem(
+                422, "wrong_service", detail, "apply it to its service"
+            )
         if expected and not expected.strip('"').isdigit():
-            return make_fault(
+            return make_request_problem(
                 400, "wrong_revision", expected, "give If-Match a revision"
             )
         wanted = int(expected.strip('"')) if expected else None
-        application = Application(service, text, operator, operation, wanted)
+        apply_request = ApplyRequest(service, text, operator, operation, wanted)
         try:
-            revision = await process.registry.apply(application)
+            revision = await process.registry.apply(apply_request)
         except ConflictError as error:
-            return make_fault(409, "conflict", str(error), error.remedy)
+            return make_request_problem(409, "conflict", str(error), error.remedy)
         except TableError as error:
-            return make_fault(
+            return make_request_problem(
                 503, "acceptance_unknown", str(error), error.remedy, "may_have_run"
             )
         return {"service": service, "revision": revision}
@@ -176,7 +186,9 @@
     async def show_document(service: str) -> Response[bytes]:
         held = process.core.catalog.find(service)
         if held is None:
-            return make_fault(404, "unknown_service", service, "apply its document")
+            return make_request_problem(
+                404, "unknown_service", service, "apply its document"
+            )
         headers = {"ETag": f'"{held.revision}"'}
         text = held.text.encode()
         return Response(text, media_type="application/toml", headers=headers)
@@ -191,7 +203,7 @@
     ) -> Response[bytes] | dict[str, Any]:
         if not process.drain_agent(agent, operator):
             remedy = "see 'godwitbank status' for the agents connected"
-            return make_fault(404, "unknown_agent", agent, remedy)
+            return make_request_problem(404, "unknown_agent", agent, remedy)
         return {"agent": agent, "draining": True}
 
     return [apply_document, show_document, show_status, drain]
@@ -209,7 +221,7 @@
 
     @get("/metrics", summary="Counters and percentiles.", media_type="text/plain")
     async def show_metrics() -> Response[bytes]:
-        return Response(process.exporter.render(), media_type=METRICS_TYPE)
+        return Response(process.exporter.render(), media_type=METRICS_MEDIA_TYPE)
 
     return [show_health, show_ready, show_metrics]
 
--- a/src/godwitbank/_internal/http/problems.py
+++ b/src/godwitbank/_internal/http/problems.py
@@ -9,12 +9,12 @@
 
 from godwitbank._internal.models.outcomes import Failed, Ran, Reason
 
-MEDIA_TYPE = "application/problem+json"
-METRICS_TYPE = "text/plain; version=0.0.4"
+PROBLEM_MEDIA_TYPE = "application/problem+json"
+METRICS_MEDIA_TYPE = "text/plain; version=0.0.4"
 TYPE_PREFIX = "urn:godwitbank:problem:"
 
 
-class Kind(TypedDict):
+class ProblemKind(TypedDict):
     """What a reason means over HTTP."""
 
     status: int
@@ -22,8 +22,8 @@
     remedy: str
 
 
-def _make_kind(status: int, title: str, remedy: str) -> Kind:
-    return Kind(status=status, title=title, remedy=remedy)
+def _make_kind(status: int, title: str, remedy: str) -> ProblemKind:
+    return ProblemKind(status=status, title=title, remedy=remedy)
 
 
 _AGAIN = "submit again after the time in Retry-After"
@@ -32,7 +32,7 @@
     " with the same request id no work runs twice"
 )
 
-KINDS: dict[Reason, Kind] = {
+PROBLEM_KINDS: dict[Reason, ProblemKind] = {
     Reason.UNKNOWN_SERVICE: _make_kind(
         404, "unknown service", "apply its document, or mend the service's name"
     ),
@@ -62,7 +62,7 @@
 
 def make_problem(failed: Failed, task_name: str | None = None) -> Response[bytes]:
     """Make the response for a failed submission."""
-    kind = KINDS[failed.reason]
+    kind = PROBLEM_KINDS[failed.reason]
     body = {
         "type": TYPE_PREFIX + failed.reason,
         "title": kind["title"],
@@ -81,7 +81,7 @@
     return _respond(body, kind["status"], headers)
 
 
-def make_fault(
+def make_request_problem(
     status: int, name: str, detail: str, remedy: str, ran: str = Ran.NOT_RUN
 ) -> Response[bytes]:
     """Make the response for a request that could not be understood or served."""
@@ -101,7 +101,7 @@
     del request
     names = {413: "body_too_large", 404: "not_found", 405: "method_not_allowed"}
     name = names.get(error.status_code, "bad_request")
-    return make_fault(error.status_code, name, error.detail, "see /schema")
+    return make_request_problem(error.status_code, name, error.detail, "see /schema")
 
 
 def _respond(
@@ -110,6 +110,6 @@
     return Response(
         content=msgspec.json.encode(body),
         status_code=status,
-        media_type=MEDIA_TYPE,
+        media_type=PROBLEM_MEDIA_TYPE,
         headers=headers,
     )
--- a/src/godwitbank/_internal/operations/agent.py
+++ b/src/godwitbank/_internal/operations/agent.py
@@ -39,10 +39,10 @@
 from godwitbank._internal.operations.server import HttpServer
 from godwitbank._internal.operations.sockets import bind
 
-ANNOUNCE_SECONDS = 1.0
+ANNOUNCE_TIMEOUT_SECONDS = 1.0
 """Longest wait for an entry's reply to an announcement."""
 
-READ_SIZE = 65536
+READ_SIZE_BYTES = 65536
 
 
 class AgentProcess:
@@ -70,7 +70,7 @@
 
     # What the HTTP application calls
 
-    async def announce(self, announcement: Announcement) -> None:
+    async def handle_announcement(self, announcement: Announcement) -> None:
         """Take an endpoint's announcement or renewal."""
         if announcement["url"] != self._endpoint_url:
             self._endpoint_url = announcement["url"]
@@ -85,7 +85,7 @@
         )
         await self._hand_over(event)
 
-    async def leave(self) -> None:
+    async def handle_departure(self) -> None:
         """Take the endpoint's word that it leaves."""
         await self._hand_over(EndpointLeft())
 
@@ -139,7 +139,7 @@
 
     async def _announce_to(self, address: str) -> None:
         try:
-            async with asyncio.timeout(ANNOUNCE_SECONDS):
+            async with asyncio.timeout(ANNOUNCE_TIMEOUT_SECONDS):
                 self._announcements.add_entries(await self._ask_entries(address))
         except (OSError, TimeoutError, FrameError, EOFError):
             self.core.counts.add("announcements_failed")
@@ -151,7 +151,7 @@
         try:
             writer.write(encode(self._greeting))
             frames = FrameReader()
-            while data := await reader.read(READ_SIZE):
+            while data := await reader.read(READ_SIZE_BYTES):
                 for message in frames.feed(data):
                     if isinstance(message, Peers):
                         return [str(entry) for entry in message.entries]
--- a/src/godwitbank/_internal/operations/decisions.py
+++ b/src/godwitbank/_internal/operations/decisions.py
@@ -15,10 +15,10 @@
 
 from godwitbank._internal.core.counters import Counts
 
-MAX_BUFFERED = 256 * 1024
+MAX_BUFFERED_BYTES = 256 * 1024
 """Bytes of lines that wait for the reader; some seconds of a busy process."""
 
-FLUSH_SECONDS = 0.05
+FLUSH_DELAY_SECONDS = 0.05
 """Longest time a line waits, so that a busy process writes 20 times a second instead of
 once a decision. A process that is killed loses what waits."""
 
@@ -50,14 +50,14 @@
         os.set_blocking(descriptor, False)
 
     def write(self, event: str, request: str, fields: Mapping[str, object]) -> None:
-        """Queue one line; it is written within ``FLUSH_SECONDS``."""
+        """Queue one line; it is written within ``FLUSH_DELAY_SECONDS``."""
         line = {"at": round(self._clock(), 4), "process": self._process}
         line["event"] = event  # type: ignore[assignment]
         if request:
             line["request"] = request  # type: ignore[assignment]
         line.update(fields)  # type: ignore[arg-type]
         data = _encode(line) + b"\n"
-        if self._size + len(data) > MAX_BUFFERED:
+        if self._size + len(data) > MAX_BUFFERED_BYTES:
             self.dropped += 1
             self._counts.add("log_lines_dropped")
             return
@@ -68,7 +68,7 @@
     def _schedule(self) -> None:
         if not self._scheduled:
             self._scheduled = True
-            asyncio.get_running_loop().call_later(FLUSH_SECONDS, self._flush)
+            asyncio.get_running_loop().call_later(FLUSH_DELAY_SECONDS, self._flush)
 
     def _flush(self) -> None:
         self._scheduled = False
--- a/src/godwitbank/_internal/operations/entry.py
+++ b/src/godwitbank/_internal/operations/entry.py
@@ -38,19 +38,19 @@
 from godwitbank._internal.network.streams import StreamEvents, StreamTable
 from godwitbank._internal.network.table import Put, TableClient
 from godwitbank._internal.operations.inbox import Inbox, wait_unless_failed
-from godwitbank._internal.operations.lag import ENTRY_PERIOD, LagMeter
+from godwitbank._internal.operations.lag import ENTRY_INTERVAL_SECONDS, LagMeter
 from godwitbank._internal.operations.metrics import Exporter
-from godwitbank._internal.operations.registry import Registry
+from godwitbank._internal.operations.registry import DocumentRegistry
 from godwitbank._internal.operations.server import HttpServer
 from godwitbank._internal.operations.sockets import bind
 
-POLL_SECONDS = 2.0
+POLL_INTERVAL_SECONDS = 2.0
 """Seconds between reads of the table's head row."""
 
-CLAIM_TTL = 7 * 24 * 3600.0
+CLAIM_TTL_SECONDS = 7 * 24 * 3600.0
 """Seconds a claim is kept; request ids must not be reused later."""
 
-LATE_SECONDS = 1.0
+REFUSAL_LAG_SECONDS = 1.0
 """Seconds of lateness from which submissions are refused. Deadlines here are seconds;
 a burst of callers that makes the loop late by tenths of a second is served in time."""
 
@@ -70,7 +70,7 @@
         )
         self.exporter = Exporter(self.core.counts)
         self.table = TableClient(settings.table)
-        self.registry = Registry(self.table, self._deliver_document)
+        self.registry = DocumentRegistry(self.table, self._deliver_document)
         self.stopping = asyncio.Event()
         self.draining = False
         self._inbox = Inbox(
@@ -80,7 +80,7 @@
         events = StreamEvents(self._inbox.put, self.core.counts.add)
         self._streams = StreamTable(events, greeting)
         self.pressure = Pressure()
-        self._lag = LagMeter(ENTRY_PERIOD, time.monotonic, self.hear_lag)
+        self._lag = LagMeter(ENTRY_INTERVAL_SECONDS, time.monotonic, self.handle_lag)
         self._callers: dict[str, asyncio.Future[Outcome]] = {}
         self._tasks: set[asyncio.Task[Any]] = set()
 
@@ -97,7 +97,7 @@
         if self.draining:
             detail = "this entry is stopping"
             return Failed(submission, Reason.STOPPING, Ran.NOT_RUN, detail, 0.0)
-        if self.pressure.overloaded and self.pressure.lag >= LATE_SECONDS:
+        if self.pressure.overloaded and self.pressure.lag >= REFUSAL_LAG_SECONDS:
             # Taken now it would be late, and make all that was taken before later.
             detail = f"this entry is {self.pressure.lag:.3f} s behind"
             return Failed(submission, Reason.NO_PROCESSOR, Ran.NOT_RUN, detail, 1.0)
@@ -117,7 +117,7 @@
         finally:
             self._callers.pop(submission, None)
 
-    def hear_lag(self, seconds: float) -> None:
+    def handle_lag(self, seconds: float) -> None:
         """Note how late the event loop was."""
         self.exporter.record("loop_lag", seconds)
         change = self.pressure.observe(seconds, time.monotonic())
@@ -125,7 +125,9 @@
             self.core.counts.add("pressure_changes", change.event)
             logging.info("%s: %.3f s late", change.event, change.lag)
 
-    def find_deadline(self, service: str, tasks: tuple[TaskSpec, ...]) -> float:
+    def find_max_deadline_seconds(
+        self, service: str, tasks: tuple[TaskSpec, ...]
+    ) -> float:
         """Find the longest deadline the document gives these tasks, in seconds."""
         held = self.core.catalog.find(service)
         if held is None:
@@ -209,7 +211,7 @@
                 Put(key=key, version=version, value=action.claims[key])
                 for key, version in versions.items()
             ]
-            conflict = await self.table.write(puts, CLAIM_TTL)
+            conflict = await self.table.write(puts, CLAIM_TTL_SECONDS)
             if conflict is None:
                 break
             for key, row in conflict.rows.items():
@@ -238,7 +240,7 @@
             except TableError as error:
                 self.core.counts.add("table_reads_failed")
                 logging.debug("table not read: %s", error)
-            await asyncio.sleep(POLL_SECONDS)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
     # Life
 
--- a/src/godwitbank/_internal/operations/exposition.py
+++ b/src/godwitbank/_internal/operations/exposition.py
@@ -8,7 +8,7 @@
 
 from godwitbank._internal.core.counters import Counts
 
-PREFIX = "godwitbank_"
+METRIC_PREFIX = "godwitbank_"
 
 
 class Percentile(NamedTuple):
@@ -36,14 +36,14 @@
             family = families.get(key.name)
             if family is None:
                 family = families[key.name] = CounterMetricFamily(
-                    PREFIX + key.name, f"Count of {key.name}", labels=["reason"]
+                    METRIC_PREFIX + key.name, f"Count of {key.name}", labels=["reason"]
                 )
             family.add_metric([str(key.reason)], value)
         yield from families.values()
 
     def _collect_times(self) -> Metric:
         family = GaugeMetricFamily(
-            PREFIX + "response_seconds",
+            METRIC_PREFIX + "response_seconds",
             "Response times by kind and percentile",
             labels=["kind", "percentile"],
         )
--- a/src/godwitbank/_internal/operations/lag.py
+++ b/src/godwitbank/_internal/operations/lag.py
@@ -3,16 +3,16 @@
 import asyncio
 from collections.abc import Callable
 
-ENTRY_PERIOD = 0.025
+ENTRY_INTERVAL_SECONDS = 0.025
 """Seconds between an entry's measurements: two within the time of which it takes the
 least late one."""
 
-AGENT_PERIOD = 0.1
+AGENT_INTERVAL_SECONDS = 0.1
 """The same for an agent, which only tells it. It wakes up as often to prove its life
 while runs are in flight, and there are many agents: each measurement is four turns."""
 
 
-TURNS = 3
+LOOP_ITERATIONS = 3
 """Turns of the loop from a request's bytes to a decision: they are read in one, its
 handler runs in the next, and the core in the third."""
 
@@ -47,7 +47,7 @@
         self._timer = asyncio.get_running_loop().call_later(self._period, self._fire)
 
     def _fire(self) -> None:
-        self._wait_turns(TURNS)
+        self._wait_turns(LOOP_ITERATIONS)
 
     def _wait_turns(self, left: int) -> None:
         if self._timer is None:
--- a/src/godwitbank/_internal/operations/metrics.py
+++ b/src/godwitbank/_internal/operations/metrics.py
@@ -4,15 +4,15 @@
 
 from godwitbank._internal.core.counters import Counts
 
-HIGHEST_MICROSECONDS = 3_600_000_000
+MAX_RESPONSE_MICROSECONDS = 3_600_000_000
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
 
-class Latency:
+class LatencyHistogram:
     """Response times of one kind, in a high dynamic range histogram."""
 
     def __init__(self) -> None:
-        self._histogram = HdrHistogram(1, HIGHEST_MICROSECONDS, 3)
+        self._histogram = HdrHistogram(1, MAX_RESPONSE_MICROSECONDS, 3)
 
     def record(self, seconds: float) -> None:
         """Record one response time."""
@@ -35,13 +35,13 @@
 
     def __init__(self, counts: Counts) -> None:
         self._counts = counts
-        self._latencies: dict[str, Latency] = {}
+        self._latencies: dict[str, LatencyHistogram] = {}
 
     def record(self, kind: str, seconds: float) -> None:
         """Record a response time of a kind."""
         latency = self._latencies.get(kind)
         if latency is None:
-            latency = self._latencies[kind] = Latency()
+            latency = self._latencies[kind] = LatencyHistogram()
         latency.record(seconds)
 
     def render(self) -> bytes:
--- a/src/godwitbank/_internal/operations/registry.py
+++ b/src/godwitbank/_internal/operations/registry.py
@@ -13,18 +13,19 @@
 from godwitbank._internal.exceptions import ConflictError, TableError
 from godwitbank._internal.network.table import Put, Row, TableClient
 
-HEAD = "head"
-INDEX = "index"
-TRIES = 8
+HEAD_KEY = "head"
+INDEX_KEY = "index"
+MAX_APPLY_ATTEMPTS = 8
 """Tries of one apply against a table that loses answers or races."""
 
-RETRY_SECONDS = 0.2
+RETRY_DELAY_SECONDS = 0.2
 
 
-class Application(NamedTuple):
+class ApplyRequest(NamedTuple):
     """An operator's wish to put a document in force.
 
-    :param expected: revision it was made from, or ``None`` for whatever is there.
+    :param expected_revision: revision that the document was edited from, or ``None``
+        to replace whichever revision is current.
     :param operation: unique id of this wish, kept over retries.
     """
 
@@ -32,10 +33,10 @@
     text: str
     operator: str
     operation: str
-    expected: int | None
+    expected_revision: int | None
 
 
-class Registry:
+class DocumentRegistry:
     """Reads and changes documents in the table."""
 
     def __init__(
@@ -50,11 +51,11 @@
 
         :raises TableError: when the table gives no usable answer.
         """
-        head = await self._table.read(HEAD)
+        head = await self._table.read(HEAD_KEY)
         sequence = int(head.value) if head.value else 0
         if sequence <= self._sequence:
             return
-        index = await self._table.read(INDEX)
+        index = await self._table.read(INDEX_KEY)
         revisions = index.value or {}
         for service, revision in revisions.items():
             if revision > known.get(service, 0):
@@ -66,7 +67,7 @@
         # that the head promised, or a change would be missed until the next one.
         self._sequence = max(revisions.values(), default=0)
 
-    async def apply(self, application: Application) -> int:
+    async def apply(self, request: ApplyRequest) -> int:
         """Commit a document by compare-and-set on its revision.
 
         A lost answer is settled by reading back: the row names the operation
@@ -77,64 +78,64 @@
         :raises TableError: when it can't be learnt whether it was accepted.
         """
         doubt: TableError | None = None
-        for _ in range(TRIES):
+        for _ in range(MAX_APPLY_ATTEMPTS):
             try:
-                if application.expected is None:
-                    application = await self._pin(application)
-                revision = await self._try_apply(application)
+                if request.expected_revision is None:
+                    request = await self._pin(request)
+                revision = await self._try_apply(request)
             except TableError as error:
                 doubt = error
-                await asyncio.sleep(RETRY_SECONDS)
+                await asyncio.sleep(RETRY_DELAY_SECONDS)
                 continue
             if revision is not None:
                 return revision
         raise TableError(
             "it isn't known whether the document was accepted",
             context=str(doubt),
-            remedy=f"apply again with --operation {application.operation}",
+            remedy=f"apply again with --operation {request.operation}",
         )
 
-    async def _pin(self, application: Application) -> Application:
+    async def _pin(self, request: ApplyRequest) -> ApplyRequest:
         # Without this, a second try would take the winner of a race for the
         # document its operator meant to replace, and silently undo it.
-        row = await self._table.read(_name_row(application.service))
+        row = await self._table.read(_name_row(request.service))
         current = int(row.value["revision"]) if row.value else 0
-        return application._replace(expected=current)
+        return request._replace(expected_revision=current)
 
-    async def _find_done(self, application: Application) -> int | None:
+    async def _find_done(self, request: ApplyRequest) -> int | None:
         # The row itself may already hold a later operator's document.
-        name = _name_history(application.service, application.operation)
+        name = _name_history(request.service, request.operation)
         row = await self._table.read(name)
         return int(row.value["revision"]) if row.value else None
 
-    async def _try_apply(self, application: Application) -> int | None:
-        done = await self._find_done(application)
+    async def _try_apply(self, request: ApplyRequest) -> int | None:
+        done = await self._find_done(request)
         if done is not None:
             return done
-        row = await self._table.read(_name_row(application.service))
+        row = await self._table.read(_name_row(request.service))
         current = int(row.value["revision"]) if row.value else 0
-        if application.expected != current:
-            raise _make_conflict(row, application)
-        head = await self._table.read(HEAD)
-        index = await self._table.read(INDEX)
+        if request.expected_revision != current:
+            raise _make_conflict(row, request)
+        head = await self._table.read(HEAD_KEY)
+        index = await self._table.read(INDEX_KEY)
         revision = max(int(head.value or 0), current) + 1
         value = {
             "revision": revision,
-            "text": application.text,
-            "operator": application.operator,
-            "operation": application.operation,
+            "text": request.text,
+            "operator": request.operator,
+            "operation": request.operation,
         }
-        history = _name_history(application.service, application.operation)
-        revisions = {**(index.value or {}), application.service: revision}
+        history = _name_history(request.service, request.operation)
+        revisions = {**(index.value or {}), request.service: revision}
         puts = [
             Put(key=row.key, version=row.version, value=value),
             Put(key=history, version=0, value=value),
-            Put(key=HEAD, version=head.version, value=revision),
-            Put(key=INDEX, version=index.version, value=revisions),
+            Put(key=HEAD_KEY, version=head.version, value=revision),
+            Put(key=INDEX_KEY, version=index.version, value=revisions),
         ]
         conflict = await self._table.write(puts)
         if conflict is None:
-            self._deliver(application.service, revision, application.text)
+            self._deliver(request.service, revision, request.text)
             return revision
         return None
 
@@ -147,11 +148,11 @@
     return f"history/{service}/{operation}"
 
 
-def _make_conflict(row: Row, application: Application) -> ConflictError:
+def _make_conflict(row: Row, request: ApplyRequest) -> ConflictError:
     value = row.value or {"revision": 0, "operator": "nobody"}
     return ConflictError(
-        f"service {application.service!r} is at revision {value['revision']},"
-        f" not {application.expected}",
+        f"service {request.service!r} is at revision {value['revision']},"
+        f" not {request.expected_revision}",
         context=f"changed by operator {value['operator']!r}",
         remedy="run 'godwitbank diff', merge, and apply again",
     )
--- a/src/godwitbank/_internal/operations/run_agent.py
+++ b/src/godwitbank/_internal/operations/run_agent.py
@@ -32,21 +32,21 @@
 from godwitbank._internal.operations.clocks import read_boot_time
 from godwitbank._internal.operations.decisions import DecisionLog
 from godwitbank._internal.operations.inbox import Inbox, wait_unless_failed
-from godwitbank._internal.operations.lag import AGENT_PERIOD, LagMeter
+from godwitbank._internal.operations.lag import AGENT_INTERVAL_SECONDS, LagMeter
 from godwitbank._internal.operations.metrics import Exporter
 
-STOP_SECONDS = 4.5
+DRAIN_TIMEOUT_SECONDS = 4.5
 """Longest wait for running tasks after SIGTERM; the process is killed at 6 s,
 and its successor needs the rest to take over the endpoint."""
 
-MAX_LOGGED_WRITERS = 100
+MAX_LOGGED_INSTANCES = 100
 """Instances whose refused reports are logged; all are counted."""
 
-SETTLE_SECONDS = 0.2
+FINAL_SEND_SECONDS = 0.2
 """Time the last outcomes get to leave the sockets before the process ends."""
 
 
-class Orders(Protocol):
+class EndpointControl(Protocol):
     """Calls to the endpoint beside the agent."""
 
     async def start(self, order: OrderStart) -> StartAnswered:
@@ -62,13 +62,13 @@
         """Close connections."""
 
 
-class ReportKeeper(Protocol):
+class ReportStore(Protocol):
     """Keeps the endpoint's last report where a restarted agent finds it."""
 
-    async def keep_report(self, report: EndpointReport) -> None:
+    async def store_report(self, report: EndpointReport) -> None:
         """Keep a report; failing to is no harm but a wait after a restart."""
 
-    async def recall_report(self) -> EndpointReport | None:
+    async def read_stored_report(self) -> EndpointReport | None:
         """Find the report that was kept last."""
 
 
@@ -78,8 +78,8 @@
     def __init__(
         self,
         identity: Identity,
-        orders: Orders,
-        keeper: ReportKeeper,
+        orders: EndpointControl,
+        keeper: ReportStore,
         log: DecisionLog,
         counts: Counts,
         deployment: Deployment = DEFAULT_DEPLOYMENT,
@@ -99,7 +99,7 @@
         self._inbox = Inbox(
             self.core, self._perform, lambda: self.core.next_wakeup, read_boot_time
         )
-        self._lag = LagMeter(AGENT_PERIOD, read_boot_time, self._hear_lag)
+        self._lag = LagMeter(AGENT_INTERVAL_SECONDS, read_boot_time, self._hear_lag)
         events = StreamEvents(self._inbox.put, self.core.counts.add)
         self.streams = StreamTable(events, make_hello(identity, Role.AGENT))
 
@@ -107,17 +107,17 @@
         """Hand an event to the core."""
         self._inbox.put(event)
 
-    def refuse_report(self, instance: str, reason: str) -> None:
+    def record_refused_report(self, instance: str, reason: str) -> None:
         """Count a report that names no endpoint, and log each writer's first one."""
         self.core.counts.add("reports_refused")
         if instance in self._refused_reports:
             return
-        if len(self._refused_reports) < MAX_LOGGED_WRITERS:
+        if len(self._refused_reports) < MAX_LOGGED_INSTANCES:
             self._refused_reports.add(instance)
             fields = {"instance": instance, "reason": reason}
             self._log.write("report_refused", "", fields)
 
-    def learn_entries(self, addresses: tuple[str, ...]) -> None:
+    def add_entry_addresses(self, addresses: tuple[str, ...]) -> None:
         """Take stream addresses of entries."""
         self._inbox.put(AddressesRead(addresses))
 
@@ -139,7 +139,7 @@
             elif isinstance(action, OrderStop):
                 self._spawn(self._orders.stop(action))
             elif isinstance(action, StoreReport):
-                self._spawn(self._keeper.keep_report(action.report))
+                self._spawn(self._keeper.store_report(action.report))
             elif isinstance(action, CloseStream):
                 self.streams.write(action.stream, writes.pop(action.stream, []))
                 self.streams.close(action.stream, action.reason == "silence")
@@ -165,7 +165,7 @@
         self._inbox.put(await self._orders.renew(order))
 
     async def _recall(self) -> None:
-        report = await self._keeper.recall_report()
+        report = await self._keeper.read_stored_report()
         if report is not None:
             self._inbox.put(StoredReportRead(report))
 
@@ -181,9 +181,9 @@
         await wait_unless_failed(self.stopping, owner)
         self._inbox.put(StopRequested())
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(STOP_SECONDS):
+            async with asyncio.timeout(DRAIN_TIMEOUT_SECONDS):
                 await wait_unless_failed(self._quiet, owner)
-        await asyncio.sleep(SETTLE_SECONDS)
+        await asyncio.sleep(FINAL_SEND_SECONDS)
         self._lag.stop()
         self.streams.close_all()
         owner.cancel()
--- a/src/godwitbank/_internal/operations/run_entry.py
+++ b/src/godwitbank/_internal/operations/run_entry.py
@@ -36,10 +36,10 @@
 from godwitbank._internal.operations.clocks import read_boot_time
 from godwitbank._internal.operations.decisions import DecisionLog
 from godwitbank._internal.operations.inbox import Inbox, wait_unless_failed
-from godwitbank._internal.operations.lag import ENTRY_PERIOD, LagMeter
+from godwitbank._internal.operations.lag import ENTRY_INTERVAL_SECONDS, LagMeter
 from godwitbank._internal.operations.metrics import Exporter
 
-SETTLE_SECONDS = 0.2
+FINAL_SEND_SECONDS = 0.2
 """Time the last orders to stop get to leave the sockets."""
 
 
@@ -68,7 +68,7 @@
         self._inbox = Inbox(
             self.core, self._perform, lambda: self.core.next_wakeup, read_boot_time
         )
-        self._lag = LagMeter(ENTRY_PERIOD, read_boot_time, self._hear_lag)
+        self._lag = LagMeter(ENTRY_INTERVAL_SECONDS, read_boot_time, self._hear_lag)
         events = StreamEvents(self._inbox.put, self.core.counts.add)
         self.streams = StreamTable(events, make_hello(identity, Role.ENTRY))
 
@@ -113,11 +113,11 @@
         await self._inbox.flush()
         return known
 
-    def install(self, configuration: Configuration) -> None:
+    def install_configuration(self, configuration: Configuration) -> None:
         """Take a configuration read from the store."""
         self._inbox.put(ConfigurationRead(configuration))
 
-    def evacuate(self, evacuation: Evacuation) -> None:
+    def update_evacuation(self, evacuation: Evacuation) -> None:
         """Take what was read from the store of evacuated zones."""
         self._inbox.put(EvacuationRead(evacuation))
 
@@ -125,7 +125,7 @@
         """Count the entries that are known, this one too."""
         return self.core.links.addresses.count + 1
 
-    def learn_entries(self, addresses: tuple[str, ...]) -> None:
+    def add_entry_addresses(self, addresses: tuple[str, ...]) -> None:
         """Take stream addresses of entries."""
         self._inbox.put(AddressesRead(addresses))
 
@@ -175,7 +175,7 @@
 
     async def close(self) -> None:
         """Close streams; callers must have been answered before."""
-        await asyncio.sleep(SETTLE_SECONDS)
+        await asyncio.sleep(FINAL_SEND_SECONDS)
         self.streams.close_all()
         self._lag.stop()
         if self._owner is not None:
--- a/src/godwitbank/_internal/operations/server.py
+++ b/src/godwitbank/_internal/operations/server.py
@@ -6,7 +6,7 @@
 
 import uvicorn
 
-ACCEPTS_PER_TURN = 16
+ACCEPTS_PER_ITERATION = 16
 """Connections a listener takes in one turn of the event loop.
 
 The loop takes one a turn and listener. With turns of some milliseconds, callers that
@@ -16,14 +16,15 @@
 class HttpServer:
     """A uvicorn server that leaves signals to its owner.
 
-    :param accepts: connections that each listener takes in a turn of the loop.
+    :param accepts_per_iteration: connections that each listener accepts in one
+        iteration of the event loop.
     """
 
     def __init__(
         self,
         app: Any,
         *listeners: socket.socket,
-        accepts: int = ACCEPTS_PER_TURN,
+        accepts_per_iteration: int = ACCEPTS_PER_ITERATION,
     ) -> None:
         config = uvicorn.Config(
             app,
@@ -38,7 +39,9 @@
         self._server = uvicorn.Server(config)
         self._server.capture_signals = _leave_signals  # type: ignore
         self._listeners = [
-            listener.dup() for listener in listeners for _ in range(accepts)
+            listener.dup()
+            for listener in listeners
+            for _ in range(accepts_per_iteration)
         ]
         for listener in listeners:
             listener.close()
--- a/src/godwitbank/_internal/operations/sockets.py
+++ b/src/godwitbank/_internal/operations/sockets.py
@@ -6,7 +6,7 @@
 from godwitbank._internal.exceptions import AddressInUseError
 from godwitbank._internal.models.settings import parse_address
 
-BACKLOG = 1024
+BACKLOG_CONNECTIONS = 1024
 
 
 def bind(address: str, setting: str) -> socket.socket:
@@ -30,6 +30,6 @@
             context=f"setting '{setting}': {error.strerror}",
             remedy="stop the other process or set another address",
         ) from None
-    listener.listen(BACKLOG)
+    listener.listen(BACKLOG_CONNECTIONS)
     listener.setblocking(False)
     return listener
--- a/src/godwitbank/_internal/platform/agent_program.py
+++ b/src/godwitbank/_internal/platform/agent_program.py
@@ -36,12 +36,12 @@
         identify(settings), orders, store, log, counts, settings.deployment
     )
     watch_settings(process, log)
-    process.learn_entries(settings.seeds)
+    process.add_entry_addresses(settings.seeds)
     finder = asyncio.create_task(find_entries(store, process))
     metrics_at = bind(f"{settings.ip}:{METRICS_PORT}", "metrics")
     servers = [
-        HttpServer(make_reports_app(process), reports_at, accepts=1),
-        HttpServer(make_agent_monitoring(process), metrics_at, accepts=1),
+        HttpServer(make_reports_app(process), reports_at, accepts_per_iteration=1),
+        HttpServer(make_agent_monitoring(process), metrics_at, accepts_per_iteration=1),
     ]
     for server in servers:
         await server.start()
--- a/src/godwitbank/_internal/platform/entry_program.py
+++ b/src/godwitbank/_internal/platform/entry_program.py
@@ -40,9 +40,11 @@
     loop = asyncio.get_running_loop()
     listener = bind(stream_bind or settings.stream, "port-range")
     server = await loop.create_server(process.streams.make_accepted, sock=listener)
-    process.learn_entries(settings.seeds)
+    process.add_entry_addresses(settings.seeds)
     store = StoreClient(StoreCalls(settings.store), settings.name, log, counts)
-    subscriber = Subscriber(process.evacuate, process.install, process.count_entries)
+    subscriber = Subscriber(
+        process.update_evacuation, process.install_configuration, process.count_entries
+    )
     looks = PollLimits.from_deployment(settings.deployment)
     watchers = [
         asyncio.create_task(
@@ -62,7 +64,7 @@
     monitoring = HttpServer(
         make_entry_monitoring(process),
         *(bind(each, "listen") for each in addresses),
-        accepts=1,
+        accepts_per_iteration=1,
     )
     await monitoring.start()
     await process.run()
--- a/src/godwitbank/_internal/platform/programs.py
+++ b/src/godwitbank/_internal/platform/programs.py
@@ -42,7 +42,7 @@
             log.write("settings_rejected", "", {"error": error.message})
             return
         log.write("settings_reloaded", "", {"seeds": settings.seeds})
-        process.learn_entries(settings.seeds)
+        process.add_entry_addresses(settings.seeds)
 
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, reload)
 
@@ -54,7 +54,7 @@
     is left then who could tell it of them.
     """
     while True:
-        process.learn_entries(await store.find_entries())
+        process.add_entry_addresses(await store.find_entries())
         await asyncio.sleep(FIND_SECONDS)
         while process.core.links.list_peers():
             await asyncio.sleep(FIND_SECONDS)
--- a/src/godwitbank/_internal/platform/reports.py
+++ b/src/godwitbank/_internal/platform/reports.py
@@ -41,7 +41,7 @@
     except ClientDisconnect:
         return _respond({}, 499)
     except msgspec.DecodeError as error:
-        process.refuse_report(instance, str(error))
+        process.record_refused_report(instance, str(error))
         return _respond({"error": str(error)}, 400)
     process.put(event)
     return _respond({})
--- a/src/godwitbank/_internal/platform/store.py
+++ b/src/godwitbank/_internal/platform/store.py
@@ -88,7 +88,7 @@
         await self._calls.write("/-/rows-tx", body, CALL_SECONDS)
         self._regain()
 
-    async def keep_report(self, report: EndpointReport) -> None:
+    async def store_report(self, report: EndpointReport) -> None:
         """Keep the endpoint's report; tried once, as the next may differ."""
         try:
             await self._put(REPORTS_TABLE, msgspec.json.encode(report))
@@ -96,7 +96,7 @@
             fields = {"error": type(error).__name__}
             self._log.write("report_not_kept", "", fields)
 
-    async def recall_report(self) -> EndpointReport | None:
+    async def read_stored_report(self) -> EndpointReport | None:
         """Find the report kept last on this VM; ``None`` if that fails."""
         query = {
             "table": REPORTS_TABLE,
--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -152,7 +152,7 @@
     Break(
         "apply doesn't look at what its operator saw",
         "src/godwitbank/_internal/operations/registry.py",
-        "if application.expected != current:",
+        "if request.expected_revision != current:",
         "if False:",
         f"{FAILURES}/test_configuration.py::test_operators_race_and_one_wins",
     ),
--- a/tests/lib/runs_processor.py
+++ b/tests/lib/runs_processor.py
@@ -19,7 +19,7 @@
 )
 from godwitbank._internal.models.jobs import JobEnd, JobResult, JobSpec
 from godwitbank._internal.models.run_messages import RunOutcome, StartRun
-from godwitbank._internal.operations.lag import ENTRY_PERIOD
+from godwitbank._internal.operations.lag import ENTRY_INTERVAL_SECONDS
 from tests.lib.runs_world import Process, RunsWorld
 
 READ_COST = 0.0005
@@ -73,13 +73,13 @@
         self._work()
 
     def _ask_for_timer(self) -> None:
-        due_at = self.world.now + ENTRY_PERIOD
+        due_at = self.world.now + ENTRY_INTERVAL_SECONDS
 
         def fire() -> None:
             self._queue.append(lambda: self._tell_lag(due_at))
             self._work()
 
-        self.world.after(ENTRY_PERIOD, fire)
+        self.world.after(ENTRY_INTERVAL_SECONDS, fire)
 
     def _tell_lag(self, due_at: float) -> Turn:
         self._ask_for_timer()
--- a/tests/operations/test_decisions.py
+++ b/tests/operations/test_decisions.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable, Callable
 
 from godwitbank._internal.core.counters import Counts
-from godwitbank._internal.operations.decisions import MAX_BUFFERED, DecisionLog
+from godwitbank._internal.operations.decisions import MAX_BUFFERED_BYTES, DecisionLog
 
 LINES = 600
 LONG = "x" * 200
@@ -57,7 +57,7 @@
     # Symptom: an engineer takes a request for lost, as its lines are missing. Cause:
     # lines were dropped, and only the last line before the process's end told so.
     counts = Counts()
-    fitting = MAX_BUFFERED // (len(LONG) + 100)
+    fitting = MAX_BUFFERED_BYTES // (len(LONG) + 100)
 
     async def play(log: DecisionLog, reader: int) -> None:
         written = 0
--- a/tests/operations/test_entry.py
+++ b/tests/operations/test_entry.py
@@ -18,7 +18,7 @@
         process = EntryProcess(settings)
         reasons = []
         for lag in (1.0, 0.0):
-            process.hear_lag(lag)
+            process.handle_lag(lag)
             outcome = await process.submit("desk", (), 1.0)
             assert isinstance(outcome, Failed)
             assert outcome.ran == Ran.NOT_RUN
--- a/tests/operations/test_registry.py
+++ b/tests/operations/test_registry.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from godwitbank._internal.network.table import Conflict, Put, Row
-from godwitbank._internal.operations.registry import Application, Registry
+from godwitbank._internal.operations.registry import ApplyRequest, DocumentRegistry
 
 
 class _Table:
@@ -26,18 +26,18 @@
         return None
 
 
-def _make() -> tuple[_Table, Registry, list[tuple[str, int]]]:
+def _make() -> tuple[_Table, DocumentRegistry, list[tuple[str, int]]]:
     table = _Table()
     delivered: list[tuple[str, int]] = []
 
     def deliver(service: str, revision: int, text: str) -> None:
         delivered.append((service, revision))
 
-    return table, Registry(table, deliver), delivered  # type: ignore[arg-type]
+    return table, DocumentRegistry(table, deliver), delivered  # type: ignore[arg-type]
 
 
-async def _apply(registry: Registry, service: str, operation: str) -> int:
-    wish = Application(service, "text", "op", operation, None)
+async def _apply(registry: DocumentRegistry, service: str, operation: str) -> int:
+    wish = ApplyRequest(service, "text", "op", operation, None)
     return await registry.apply(wish)
 
 
--- a/tests/operations/test_server.py
+++ b/tests/operations/test_server.py
@@ -5,7 +5,7 @@
 
 import uvloop
 
-from godwitbank._internal.operations.server import ACCEPTS_PER_TURN, HttpServer
+from godwitbank._internal.operations.server import ACCEPTS_PER_ITERATION, HttpServer
 from godwitbank._internal.operations.sockets import bind
 
 TURNS = 4
@@ -27,7 +27,9 @@
         address = listener.getsockname()
         server = HttpServer(_answer, listener)
         await server.start()
-        callers = [socket.create_connection(address) for _ in range(ACCEPTS_PER_TURN)]
+        callers = [
+            socket.create_connection(address) for _ in range(ACCEPTS_PER_ITERATION)
+        ]
         for _ in range(TURNS):
             await asyncio.sleep(0)
         accepted = server.count_connections()
@@ -36,4 +38,4 @@
         await server.stop()
         return accepted
 
-    assert uvloop.run(count_accepted()) == ACCEPTS_PER_TURN
+    assert uvloop.run(count_accepted()) == ACCEPTS_PER_ITERATION
