--- a/src/godwitbank/_internal/platform/entry_program.py
+++ b/src/godwitbank/_internal/platform/entry_program.py
@@ -42,9 +42,11 @@
     server = await loop.create_server(
         process.streams.make_accepted_stream, sock=listener
     )
-    process.learn_entries(settings.seeds)
+    process.add_entry_addresses(settings.seeds)
     store = StoreClient(StoreCalls(settings.store), settings.name, log, counts)
-    subscriber = Subscriber(process.evacuate, process.install, process.count_entries)
+    subscriber = Subscriber(
+        process.update_evacuation, process.install_configuration, process.count_entries
+    )
     looks = PollLimits.from_deployment(settings.deployment)
     watchers = [
         asyncio.create_task(
@@ -64,7 +66,7 @@
     monitoring = HttpServer(
         make_entry_monitoring(process),
         *(bind(each, "listen") for each in addresses),
-        accepts=1,
+        accepts_per_iteration=1,
     )
     await monitoring.start()
     await process.run()
