--- a/src/godwitbank/_internal/cli/entrypoints.py
+++ b/src/godwitbank/_internal/cli/entrypoints.py
@@ -15,7 +15,7 @@
 
 def run_operator() -> None:
     """Run ``godwitbank``."""
-    from godwitbank._internal.commands import describe_commands, find_command
+    from godwitbank._internal.commands import describe_commands, load_command
 
     program = Program(
         "godwitbank",
@@ -37,7 +37,7 @@
         if not arguments:
             print(program.render_help())
             return Status.USAGE
-        command = find_command(arguments[0])
+        command = load_command(arguments[0])
         return command.run(values, arguments[1:])
 
     program.run(main)
@@ -122,7 +122,7 @@
     listening = listen_for_reports()
     from godwitbank._internal.platform.agent_program import serve_agent
 
-    return partial(serve_agent, listening.settings, listening.reports_at)
+    return partial(serve_agent, listening.settings, listening.report_socket)
 
 
 def run_on_platform() -> None:
--- a/src/godwitbank/_internal/commands/__init__.py
+++ b/src/godwitbank/_internal/commands/__init__.py
@@ -35,7 +35,7 @@
     return "\n".join(f"  {name:<10} {text}" for name, text in _SUMMARIES.items())
 
 
-def find_command(name: str) -> Command:
+def load_command(name: str) -> Command:
     """Load a command by name; only the one asked for is imported.
 
     :raises UsageError: when there is no such command.
--- a/src/godwitbank/_internal/commands/apply.py
+++ b/src/godwitbank/_internal/commands/apply.py
@@ -6,10 +6,10 @@
 
 from godwitbank._internal.cli.statuses import Status
 from godwitbank._internal.commands.client import (
-    call,
-    expect_success,
+    call_entry,
+    decode_success,
     read_document,
-    require_one,
+    require_single_argument,
 )
 
 
@@ -20,12 +20,12 @@
 
     def run(self, values: flags.FlagValues, arguments: list[str]) -> Status:
         """Check the file, then have it accepted."""
-        text, document = read_document(require_one(arguments, "document"))
+        text, document = read_document(require_single_argument(arguments, "document"))
         operation = values.operation or uuid.uuid4().hex
         headers = {"Operation-Id": operation, "Operator": values.operator}
         if values.revision:
             headers["If-Match"] = values.revision
         path = f"/v1/services/{document.name}/document"
-        accepted = expect_success(call(values, "PUT", path, headers, text))
+        accepted = decode_success(call_entry(values, "PUT", path, headers, text))
         print(f"service {document.name}: accepted as revision {accepted['revision']}")
         return Status.SUCCESS
--- a/src/godwitbank/_internal/commands/check.py
+++ b/src/godwitbank/_internal/commands/check.py
@@ -3,7 +3,7 @@
 from absl import flags
 
 from godwitbank._internal.cli.statuses import Status
-from godwitbank._internal.commands.client import read_document, require_one
+from godwitbank._internal.commands.client import read_document, require_single_argument
 
 
 class CheckCommand:
@@ -14,7 +14,7 @@
     def run(self, values: flags.FlagValues, arguments: list[str]) -> Status:
         """Check the file named."""
         del values
-        path = require_one(arguments, "document")
+        path = require_single_argument(arguments, "document")
         _, document = read_document(path)
         classes = ", ".join(document.classes)
         print(f"{path}: right; service {document.name}, classes {classes}")
--- a/src/godwitbank/_internal/commands/client.py
+++ b/src/godwitbank/_internal/commands/client.py
@@ -18,7 +18,7 @@
 from godwitbank._internal.models.document import ServiceDocument
 
 
-def require_one(arguments: list[str], what: str) -> str:
+def require_single_argument(arguments: list[str], what: str) -> str:
     """Take the only argument of a command.
 
     :raises UsageError: when there are none or several.
@@ -51,7 +51,7 @@
     return text, parsed.unwrap()
 
 
-def call(
+def call_entry(
     values: flags.FlagValues,
     method: str,
     path: str,
@@ -75,7 +75,7 @@
         ) from None
 
 
-def expect_success(answer: httpx.Response) -> Any:
+def decode_success(answer: httpx.Response) -> Any:
     """Decode an entry's answer.
 
     :raises ConflictError: when another operator was first.
@@ -99,6 +99,6 @@
         print(f"\r\033[K{text}", end="", file=sys.stderr, flush=True)
 
 
-def end_progress() -> None:
+def clear_progress() -> None:
     """Clear the progress line."""
     show_progress("")
--- a/src/godwitbank/_internal/commands/counters.py
+++ b/src/godwitbank/_internal/commands/counters.py
@@ -3,7 +3,7 @@
 from absl import flags
 
 from godwitbank._internal.cli.statuses import Status
-from godwitbank._internal.commands.client import call
+from godwitbank._internal.commands.client import call_entry
 
 
 class CountersCommand:
@@ -14,7 +14,7 @@
     def run(self, values: flags.FlagValues, arguments: list[str]) -> Status:
         """Print the counters, without the comments of the text format."""
         del arguments
-        text = call(values, "GET", "/metrics").text
+        text = call_entry(values, "GET", "/metrics").text
         for line in text.splitlines():
             if line and not line.startswith("#") and "_created{" not in line:
                 print(line)
--- a/src/godwitbank/_internal/commands/diff.py
+++ b/src/godwitbank/_internal/commands/diff.py
@@ -6,7 +6,11 @@
 from absl import flags
 
 from godwitbank._internal.cli.statuses import Status
-from godwitbank._internal.commands.client import call, read_document, require_one
+from godwitbank._internal.commands.client import (
+    call_entry,
+    read_document,
+    require_single_argument,
+)
 
 
 class DiffCommand:
@@ -16,9 +20,9 @@
 
     def run(self, values: flags.FlagValues, arguments: list[str]) -> Status:
         """Print a unified diff and the revision it is against."""
-        path = require_one(arguments, "document")
+        path = require_single_argument(arguments, "document")
         text, document = read_document(path)
-        answer = call(values, "GET", f"/v1/services/{document.name}/document")
+        answer = call_entry(values, "GET", f"/v1/services/{document.name}/document")
         missing = answer.status_code == httpx.codes.NOT_FOUND
         current = "" if missing else answer.text
         revision = "0" if missing else answer.headers["ETag"].strip('"')
--- a/src/godwitbank/_internal/commands/drain.py
+++ b/src/godwitbank/_internal/commands/drain.py
@@ -6,14 +6,14 @@
 
 from godwitbank._internal.cli.statuses import Status
 from godwitbank._internal.commands.client import (
-    call,
-    end_progress,
-    expect_success,
-    require_one,
+    call_entry,
+    clear_progress,
+    decode_success,
+    require_single_argument,
     show_progress,
 )
 
-POLL_SECONDS = 0.2
+POLL_INTERVAL_SECONDS = 0.2
 
 
 class DrainCommand:
@@ -23,19 +23,19 @@
 
     def run(self, values: flags.FlagValues, arguments: list[str]) -> Status:
         """Ask, then poll until the agent says it leaves and runs nothing."""
-        name = require_one(arguments, "agent name")
+        name = require_single_argument(arguments, "agent name")
         headers = {"Operator": values.operator}
-        expect_success(call(values, "POST", f"/v1/agents/{name}/drain", headers))
+        decode_success(call_entry(values, "POST", f"/v1/agents/{name}/drain", headers))
         began = time.monotonic()
         while time.monotonic() - began < values.timeout:
-            state = expect_success(call(values, "GET", "/v1/status"))
+            state = decode_success(call_entry(values, "GET", "/v1/status"))
             rows = [row for row in state["agents"] if row["agent"] == name]
             if not rows or (rows[0]["leaving"] and not rows[0]["outstanding"]):
-                end_progress()
+                clear_progress()
                 print(f"agent {name} takes no new work and has finished its own")
                 return Status.SUCCESS
             show_progress(f"{name}: {rows[0]['outstanding']} tasks still run")
-            time.sleep(POLL_SECONDS)
-        end_progress()
+            time.sleep(POLL_INTERVAL_SECONDS)
+        clear_progress()
         print(f"agent {name} has not finished; it takes no new work")
         return Status.TIMED_OUT
--- a/src/godwitbank/_internal/commands/status.py
+++ b/src/godwitbank/_internal/commands/status.py
@@ -6,7 +6,7 @@
 from absl import flags
 
 from godwitbank._internal.cli.statuses import Status
-from godwitbank._internal.commands.client import call, expect_success
+from godwitbank._internal.commands.client import call_entry, decode_success
 
 
 def _render(state: dict[str, Any]) -> str:
@@ -40,6 +40,6 @@
     def run(self, values: flags.FlagValues, arguments: list[str]) -> Status:
         """Print the state of the entry and what it knows."""
         del arguments
-        state = expect_success(call(values, "GET", "/v1/status"))
+        state = decode_success(call_entry(values, "GET", "/v1/status"))
         print(json.dumps(state, indent=2) if values.json else _render(state))
         return Status.SUCCESS
--- a/src/godwitbank/_internal/commands/submit.py
+++ b/src/godwitbank/_internal/commands/submit.py
@@ -9,9 +9,9 @@
 
 from godwitbank._internal.cli.statuses import Status
 from godwitbank._internal.commands.client import (
-    call,
-    end_progress,
-    require_one,
+    call_entry,
+    clear_progress,
+    require_single_argument,
     show_progress,
 )
 from godwitbank._internal.exceptions import UsageError
@@ -33,7 +33,7 @@
             if kind
             else self._submit_job(values, arguments)
         )
-        end_progress()
+        clear_progress()
         if answer.is_success:
             print(answer.text)
             return Status.SUCCESS
@@ -44,7 +44,7 @@
     def _submit_job(
         self, values: flags.FlagValues, arguments: list[str]
     ) -> httpx.Response:
-        path = require_one(arguments, "job file (or give --class)")
+        path = require_single_argument(arguments, "job file (or give --class)")
         try:
             body = sys.stdin.read() if path == "-" else Path(path).read_text()
         except OSError as error:
@@ -53,12 +53,14 @@
                 context=path,
                 remedy="give the path of a JSON file, or - for standard input",
             ) from None
-        return call(values, "POST", f"/v1/services/{values.service}/jobs", None, body)
+        return call_entry(
+            values, "POST", f"/v1/services/{values.service}/jobs", None, body
+        )
 
     def _submit_request(
         self, values: flags.FlagValues, kind: str, arguments: list[str]
     ) -> httpx.Response:
-        text = require_one(arguments, "JSON payload")
+        text = require_single_argument(arguments, "JSON payload")
         try:
             payload = json.loads(text)
         except ValueError as error:
@@ -67,4 +69,4 @@
             ) from None
         body = {"class": kind, "payload": payload, "request_id": values.request_id}
         path = f"/v1/services/{values.service}/requests"
-        return call(values, "POST", path, None, json.dumps(body))
+        return call_entry(values, "POST", path, None, json.dumps(body))
--- a/src/godwitbank/_internal/commands/wait.py
+++ b/src/godwitbank/_internal/commands/wait.py
@@ -7,17 +7,17 @@
 
 from godwitbank._internal.cli.statuses import Status
 from godwitbank._internal.commands.client import (
-    call,
-    end_progress,
-    expect_success,
+    call_entry,
+    clear_progress,
+    decode_success,
     show_progress,
 )
 from godwitbank._internal.exceptions import UsageError
 
-POLL_SECONDS = 0.2
+POLL_INTERVAL_SECONDS = 0.2
 
 
-def list_behind(state: dict[str, Any], service: str, revision: int) -> list[str]:
+def list_outdated(state: dict[str, Any], service: str, revision: int) -> list[str]:
     """List the processes that don't hold a revision yet."""
     behind = []
     if state["revisions"].get(service, 0) < revision:
@@ -41,16 +41,16 @@
         revision = int(values.revision)
         began = time.monotonic()
         while True:
-            state = expect_success(call(values, "GET", "/v1/status"))
-            behind = list_behind(state, values.service, revision)
+            state = decode_success(call_entry(values, "GET", "/v1/status"))
+            behind = list_outdated(state, values.service, revision)
             if not behind:
-                end_progress()
+                clear_progress()
                 seconds = time.monotonic() - began
                 print(f"revision {revision} is in force everywhere ({seconds:.1f} s)")
                 return Status.SUCCESS
             if time.monotonic() - began > values.timeout:
-                end_progress()
+                clear_progress()
                 print(f"revision {revision} is not in force in: {', '.join(behind)}")
                 return Status.TIMED_OUT
             show_progress(f"waiting for {len(behind)} processes")
-            time.sleep(POLL_SECONDS)
+            time.sleep(POLL_INTERVAL_SECONDS)
--- a/src/godwitbank/_internal/operations/run_agent.py
+++ b/src/godwitbank/_internal/operations/run_agent.py
@@ -65,10 +65,10 @@
 class ReportKeeper(Protocol):
     """Keeps the endpoint's last report where a restarted agent finds it."""
 
-    async def keep_report(self, report: EndpointReport) -> None:
+    async def store_report(self, report: EndpointReport) -> None:
         """Keep a report; failing to is no harm but a wait after a restart."""
 
-    async def recall_report(self) -> EndpointReport | None:
+    async def read_stored_report(self) -> EndpointReport | None:
         """Find the report that was kept last."""
 
 
@@ -139,7 +139,7 @@
             elif isinstance(action, OrderStop):
                 self._spawn(self._orders.stop(action))
             elif isinstance(action, StoreReport):
-                self._spawn(self._keeper.keep_report(action.report))
+                self._spawn(self._keeper.store_report(action.report))
             elif isinstance(action, CloseStream):
                 self.streams.write(action.stream, writes.pop(action.stream, []))
                 self.streams.close(action.stream, action.reason == "silence")
@@ -165,7 +165,7 @@
         self._inbox.put(await self._orders.renew(order))
 
     async def _recall(self) -> None:
-        report = await self._keeper.recall_report()
+        report = await self._keeper.read_stored_report()
         if report is not None:
             self._inbox.put(StoredReportRead(report))
 
--- a/src/godwitbank/_internal/platform/agent_program.py
+++ b/src/godwitbank/_internal/platform/agent_program.py
@@ -9,38 +9,38 @@
 from godwitbank._internal.operations.run_agent import RunAgentProcess
 from godwitbank._internal.operations.server import HttpServer
 from godwitbank._internal.operations.sockets import bind
-from godwitbank._internal.platform.client import StoreCalls
-from godwitbank._internal.platform.endpoint import EndpointOrders
+from godwitbank._internal.platform.client import StoreHttpClient
+from godwitbank._internal.platform.endpoint import EndpointClient
 from godwitbank._internal.platform.monitoring import make_agent_monitoring
 from godwitbank._internal.platform.programs import (
-    STANDARD_OUTPUT,
-    find_entries,
-    identify,
-    watch_settings,
+    STDOUT_FD,
+    discover_entries,
+    make_identity,
+    reload_settings_on_sighup,
 )
 from godwitbank._internal.platform.reports import make_reports_app
 from godwitbank._internal.platform.settings import METRICS_PORT, PlatformSettings
 from godwitbank._internal.platform.store import StoreClient
 
 
-async def serve_agent(settings: PlatformSettings, reports_at: socket.socket) -> None:
+async def serve_agent(settings: PlatformSettings, report_socket: socket.socket) -> None:
     """Run the agent until it is stopped.
 
-    :param reports_at: listening socket that the endpoint reports to.
+    :param report_socket: listening socket that the endpoint reports to.
     """
-    orders = EndpointOrders(settings.endpoint)
+    orders = EndpointClient(settings.endpoint)
     counts = Counts()
-    log = DecisionLog(STANDARD_OUTPUT, settings.name, read_boot_time, counts)
-    store = StoreClient(StoreCalls(settings.store), settings.name, log, counts)
+    log = DecisionLog(STDOUT_FD, settings.name, read_boot_time, counts)
+    store = StoreClient(StoreHttpClient(settings.store), settings.name, log, counts)
     process = RunAgentProcess(
-        identify(settings), orders, store, log, counts, settings.deployment
+        make_identity(settings), orders, store, log, counts, settings.deployment
     )
-    watch_settings(process, log)
+    reload_settings_on_sighup(process, log)
     process.learn_entries(settings.seeds)
-    finder = asyncio.create_task(find_entries(store, process))
+    finder = asyncio.create_task(discover_entries(store, process))
     metrics_at = bind(f"{settings.ip}:{METRICS_PORT}", "metrics")
     servers = [
-        HttpServer(make_reports_app(process), reports_at, accepts=1),
+        HttpServer(make_reports_app(process), report_socket, accepts=1),
         HttpServer(make_agent_monitoring(process), metrics_at, accepts=1),
     ]
     for server in servers:
--- a/src/godwitbank/_internal/platform/bodies.py
+++ b/src/godwitbank/_internal/platform/bodies.py
@@ -22,10 +22,10 @@
 from godwitbank._internal.models.resources import Resources
 from godwitbank._internal.utils.decoding import decode_json
 
-MAX_PAYLOAD = 4000
+MAX_PAYLOAD_BYTES = 4000
 """Bytes of a job's payload (platform's bound)."""
 
-MAX_TASKS = 10_000
+MAX_JOB_TASKS = 10_000
 """Tasks of one job; a body of the size allowed could ask for millions."""
 
 
@@ -181,10 +181,10 @@
         return "only jobs with best-effort, and without times, can be run here"
     if not wire.steps:
         return "a job needs a step"
-    if len(wire.spec.encode()) > MAX_PAYLOAD:
-        return f"spec is longer than {MAX_PAYLOAD} bytes"
-    if sum(max(step.count, 0) for step in wire.steps) > MAX_TASKS:
-        return f"a job has at most {MAX_TASKS} tasks"
+    if len(wire.spec.encode()) > MAX_PAYLOAD_BYTES:
+        return f"spec is longer than {MAX_PAYLOAD_BYTES} bytes"
+    if sum(max(step.count, 0) for step in wire.steps) > MAX_JOB_TASKS:
+        return f"a job has at most {MAX_JOB_TASKS} tasks"
     for position, step in enumerate(wire.steps):
         if step.count < 1 or min(step.cpu, step.mem_mb, step.gpu) < 0:
             return f"step {position}: count must be 1 or more, resources 0 or more"
@@ -251,7 +251,7 @@
     )
 
 
-def decode_lists(
+def decode_run_lists(
     body: bytes,
 ) -> tuple[int, tuple[ListedRun, ...], tuple[ListedEnd, ...]]:
     """Decode an endpoint's clock, what it runs, and what ended.
--- a/src/godwitbank/_internal/platform/callers.py
+++ b/src/godwitbank/_internal/platform/callers.py
@@ -21,14 +21,14 @@
 if TYPE_CHECKING:
     from godwitbank._internal.operations.run_entry import RunEntryProcess
 
-JSON = "application/json"
+JSON_MEDIA_TYPE = "application/json"
 
-METHODS = ("GET", "POST", "DELETE")
+ALLOWED_METHODS = ("GET", "POST", "DELETE")
 
 JOB_ID_LENGTH = 16
 """Hexadecimal digits of a job's id."""
 
-DEFAULT_PATIENCE = 10.0
+DEFAULT_TIMEOUT_SECONDS = 10.0
 """Seconds a caller waits who doesn't say how long."""
 
 _STATUSES = {
@@ -66,7 +66,7 @@
 
 async def _serve(process: "RunEntryProcess", request: Request) -> Response:
     process.core.counts.add("requests", request.method)
-    if request.method not in METHODS:
+    if request.method not in ALLOWED_METHODS:
         return _respond(process, 405, {"error": "method not allowed"})
     path = request.scope["raw_path"].decode("latin-1").partition("?")[0]
     host = request.headers.get("host", "").partition(":")[0]
@@ -119,7 +119,7 @@
 
 def _read_patience(request: Request) -> float:
     text = request.headers.get("deadline-ms", "")
-    return int(text) / 1000 if text.isdigit() else DEFAULT_PATIENCE
+    return int(text) / 1000 if text.isdigit() else DEFAULT_TIMEOUT_SECONDS
 
 
 def _render(process: "RunEntryProcess", result: JobResult) -> Response:
@@ -143,7 +143,7 @@
     process.core.counts.add("answers", str(status))
     headers = _make_headers(process, retry_after)
     content = msgspec.json.encode(body)
-    return Response(content, status, headers, JSON)
+    return Response(content, status, headers, JSON_MEDIA_TYPE)
 
 
 def _make_headers(
--- a/src/godwitbank/_internal/platform/client.py
+++ b/src/godwitbank/_internal/platform/client.py
@@ -17,11 +17,11 @@
     """The store answered that it did nothing; a later call may be taken."""
 
 
-FAILURES = (UnreachableError, NoAnswerError, RefusedCallError)
+CALL_ERRORS = (UnreachableError, NoAnswerError, RefusedCallError)
 """What a call raises when no usable answer came."""
 
 
-class StoreCalls:
+class StoreHttpClient:
     """Calls to the store, few at a time.
 
     :param address: ``host:port``.
@@ -30,20 +30,22 @@
     def __init__(self, address: str) -> None:
         self._client = HttpClient(address, MAX_CONNECTIONS)
 
-    async def read(self, path: str, query: dict[str, str], seconds: float) -> bytes:
+    async def read(
+        self, path: str, query: dict[str, str], timeout_seconds: float
+    ) -> bytes:
         """Read rows.
 
-        :raises UnreachableError, NoAnswerError, RefusedCallError: see ``FAILURES``.
+        :raises UnreachableError, NoAnswerError, RefusedCallError: see ``CALL_ERRORS``.
         """
         target = f"{path}?{urlencode(query)}"
-        return _expect_success(await self._client.get(target, seconds))
+        return _expect_success(await self._client.get(target, timeout_seconds))
 
-    async def write(self, path: str, body: bytes, seconds: float) -> None:
+    async def write(self, path: str, body: bytes, timeout_seconds: float) -> None:
         """Write rows.
 
-        :raises UnreachableError, NoAnswerError, RefusedCallError: see ``FAILURES``.
+        :raises UnreachableError, NoAnswerError, RefusedCallError: see ``CALL_ERRORS``.
         """
-        _expect_success(await self._client.post(path, body, {}, seconds))
+        _expect_success(await self._client.post(path, body, {}, timeout_seconds))
 
     def close(self) -> None:
         """Close connections."""
--- a/src/godwitbank/_internal/platform/endpoint.py
+++ b/src/godwitbank/_internal/platform/endpoint.py
@@ -21,11 +21,11 @@
 )
 from godwitbank._internal.platform.bodies import (
     OrderAnswer,
-    decode_lists,
     decode_order_answer,
+    decode_run_lists,
 )
 
-STOP_SECONDS = 0.3
+STOP_TIMEOUT_SECONDS = 0.3
 """Longest wait for an answer to an order to stop, which nobody waits for."""
 
 MAX_CONNECTIONS = 16
@@ -48,7 +48,7 @@
 }
 
 
-class EndpointOrders:
+class EndpointClient:
     """The endpoint's orders over HTTP."""
 
     def __init__(self, address: str) -> None:
@@ -85,7 +85,7 @@
         """Order a stop; its effect shows in the next lists."""
         body = {"task": order.task, "run": order.run, "fence-token": order.token}
         try:
-            await self._post("/-/run-stop", body, order.instance, STOP_SECONDS)
+            await self._post("/-/run-stop", body, order.instance, STOP_TIMEOUT_SECONDS)
         except (UnreachableError, NoAnswerError):
             # The core sees the run still listed, and orders again.
             return
@@ -103,7 +103,7 @@
         try:
             response = await self._post("/-/hold", body, order.instance, seconds)
             if response.status == 200:
-                clock, running, ended = decode_lists(response.content)
+                clock, running, ended = decode_run_lists(response.content)
                 return RenewalAnswered(
                     order.renewal, running, ended, clock, order.instance
                 )
@@ -118,11 +118,11 @@
         return RenewalFailed(order.renewal, verdict, answer.clock)
 
     async def _post(
-        self, path: str, body: dict[str, Any], instance: str, seconds: float
+        self, path: str, body: dict[str, Any], instance: str, timeout_seconds: float
     ) -> Response:
         content = msgspec.json.encode(body)
         headers = {"Expect-Instance": instance}
-        return await self._client.post(path, content, headers, seconds)
+        return await self._client.post(path, content, headers, timeout_seconds)
 
     async def close(self) -> None:
         """Close connections."""
--- a/src/godwitbank/_internal/platform/entry_program.py
+++ b/src/godwitbank/_internal/platform/entry_program.py
@@ -12,14 +12,14 @@
 from godwitbank._internal.operations.server import HttpServer
 from godwitbank._internal.operations.sockets import bind
 from godwitbank._internal.platform.callers import make_callers_app
-from godwitbank._internal.platform.client import StoreCalls
+from godwitbank._internal.platform.client import StoreHttpClient
 from godwitbank._internal.platform.monitoring import make_entry_monitoring
-from godwitbank._internal.platform.operators import OperatorsWatch, Subscriber
+from godwitbank._internal.platform.operators import OperatorTableWatcher, Subscriber
 from godwitbank._internal.platform.programs import (
-    STANDARD_OUTPUT,
-    find_entries,
-    identify,
-    watch_settings,
+    STDOUT_FD,
+    discover_entries,
+    make_identity,
+    reload_settings_on_sighup,
 )
 from godwitbank._internal.platform.settings import METRICS_PORT, PlatformSettings
 from godwitbank._internal.platform.store import StoreClient
@@ -33,23 +33,25 @@
     """
     settings = PlatformSettings.from_environment()
     counts = Counts()
-    log = DecisionLog(STANDARD_OUTPUT, settings.name, read_boot_time, counts)
+    log = DecisionLog(STDOUT_FD, settings.name, read_boot_time, counts)
     rng = Random(os.urandom(8))
-    process = RunEntryProcess(identify(settings), rng, log, counts, settings.deployment)
-    watch_settings(process, log)
+    process = RunEntryProcess(
+        make_identity(settings), rng, log, counts, settings.deployment
+    )
+    reload_settings_on_sighup(process, log)
     loop = asyncio.get_running_loop()
     listener = bind(stream_bind or settings.stream, "port-range")
     server = await loop.create_server(process.streams.make_accepted, sock=listener)
     process.learn_entries(settings.seeds)
-    store = StoreClient(StoreCalls(settings.store), settings.name, log, counts)
+    store = StoreClient(StoreHttpClient(settings.store), settings.name, log, counts)
     subscriber = Subscriber(process.evacuate, process.install, process.count_entries)
-    looks = PollLimits.from_deployment(settings.deployment)
+    poll_limits = PollLimits.from_deployment(settings.deployment)
     watchers = [
         asyncio.create_task(
-            OperatorsWatch(store, subscriber, looks, log, counts).run()
+            OperatorTableWatcher(store, subscriber, poll_limits, log, counts).run()
         ),
         asyncio.create_task(store.register_entry(settings.stream)),
-        asyncio.create_task(find_entries(store, process)),
+        asyncio.create_task(discover_entries(store, process)),
     ]
     callers = HttpServer(
         make_callers_app(process), bind(settings.listen_callers, "listen.front")
--- a/src/godwitbank/_internal/platform/operators.py
+++ b/src/godwitbank/_internal/platform/operators.py
@@ -11,13 +11,13 @@
 from godwitbank._internal.models.jobs import Configuration, Evacuation
 from godwitbank._internal.operations.decisions import DecisionLog
 from godwitbank._internal.platform.bodies import decode_configuration
-from godwitbank._internal.platform.rows import ReadRows, Row, find_evacuated
+from godwitbank._internal.platform.rows import ReadResult, Row, find_evacuated_zones
 from godwitbank._internal.platform.store import StoreClient
 
 OPERATORS_TABLE = "op"
 """Table of what the operators want; only they write there."""
 
-FIRST_AFTER = "\0"
+NEXT_KEY_SUFFIX = "\0"
 """Added to a key it gives the one that follows next."""
 
 
@@ -34,19 +34,19 @@
     count_entries: Callable[[], int]
 
 
-class OperatorsWatch:
+class OperatorTableWatcher:
     """Delivers what the operators want."""
 
     def __init__(
         self,
         store: StoreClient,
         subscriber: Subscriber,
-        looks: PollLimits,
+        poll_limits: PollLimits,
         log: DecisionLog,
         counts: Counts,
     ) -> None:
         self._store = store
-        self._looks = looks
+        self._poll_limits = poll_limits
         self._subscriber = subscriber
         self._log = log
         self._counts = counts
@@ -69,16 +69,16 @@
                 # Whatever it was: an entry whose watch has ended stays deaf.
                 self._note_failure(error)
                 held = None
-                await self._store.pause(error)
+                await self._store.wait_before_retry(error)
 
     async def _read_all(self) -> Evacuation:
         query = {"table": OPERATORS_TABLE, "part": ""}
-        seconds = self._looks.read_seconds
+        seconds = self._poll_limits.read_seconds
         read = page = await self._store.get_rows("/-/rows-get", query, seconds)
         while page.has_more and page.changes:
             # Of several pages the first is the oldest; what has changed since is
             # told again as a change.
-            after = {**query, "from": page.changes[-1].key + FIRST_AFTER}
+            after = {**query, "from": page.changes[-1].key + NEXT_KEY_SUFFIX}
             page = await self._store.get_rows("/-/rows-get", after, seconds)
             read = read._replace(
                 rows=read.rows + page.rows, changes=read.changes + page.changes
@@ -87,18 +87,18 @@
         return self._deliver(read, frozenset())
 
     async def _await_change(self, held: Evacuation) -> Evacuation:
-        wait = self._looks.choose_wait(self._subscriber.count_entries())
+        wait = self._poll_limits.choose_wait(self._subscriber.count_entries())
         query = {
             "table": OPERATORS_TABLE,
             "after": str(held.revision),
             "wait-ms": str(int(wait * 1000)),
         }
-        seconds = wait + self._looks.answer_seconds
+        seconds = wait + self._poll_limits.answer_seconds
         read = await self._store.get_rows("/-/rows-feed", query, seconds)
         self._note_answer(read, whole=False)
         return self._deliver(read, held.zones)
 
-    def _note_answer(self, read: ReadRows, whole: bool) -> None:
+    def _note_answer(self, read: ReadResult, whole: bool) -> None:
         """Note a look that was answered; log it if it told of anything."""
         self._counts.add("store_looks", "changed" if read.changes else "unchanged")
         silence = self._measure_silence()
@@ -121,9 +121,9 @@
         """Tell for how many seconds no look has been answered."""
         return round(_read_clock() - self._heard_at, 3)
 
-    def _deliver(self, read: ReadRows, evacuated: frozenset[str]) -> Evacuation:
+    def _deliver(self, read: ReadResult, evacuated: frozenset[str]) -> Evacuation:
         """Deliver what was read, what is evacuated before what lets jobs in."""
-        zones = find_evacuated(read.changes, evacuated)
+        zones = find_evacuated_zones(read.changes, evacuated)
         evacuation = Evacuation(zones, read.version)
         self._subscriber.evacuate(evacuation)
         for row in read.rows:
@@ -136,7 +136,7 @@
             configuration = decode_configuration(row.value)
         except msgspec.DecodeError as error:
             # The one in force holds on until one comes that can be read.
-            self._store.pass_over(OPERATORS_TABLE, row.key, str(error))
+            self._store.record_unusable_row(OPERATORS_TABLE, row.key, str(error))
             return
         self._subscriber.configure(configuration)
 
--- a/src/godwitbank/_internal/platform/programs.py
+++ b/src/godwitbank/_internal/platform/programs.py
@@ -18,20 +18,20 @@
 
 Process = Union["RunAgentProcess", "RunEntryProcess"]
 
-STANDARD_OUTPUT = 1
+STDOUT_FD = 1
 
-FIND_SECONDS = 3.0
+DISCOVERY_INTERVAL_SECONDS = 3.0
 """Seconds between two looks whether any entry is reached. Those that come back at their
 addresses are dialled twice a second meanwhile; a read is paid for."""
 
 
-def identify(settings: PlatformSettings) -> Identity:
+def make_identity(settings: PlatformSettings) -> Identity:
     """Choose a new incarnation."""
     incarnation = uuid.uuid4().hex
     return Identity(settings.name, incarnation, settings.stream, settings.zone)
 
 
-def watch_settings(process: Process, log: DecisionLog) -> None:
+def reload_settings_on_sighup(process: Process, log: DecisionLog) -> None:
     """Read the settings again at a signal."""
 
     def reload() -> None:
@@ -47,14 +47,14 @@
     asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, reload)
 
 
-async def find_entries(store: StoreClient, process: Process) -> None:
+async def discover_entries(store: StoreClient, process: Process) -> None:
     """Learn from the store where entries are; again while none is reached.
 
     All entries may be replaced at other addresses while a process is cut off: nobody
     is left then who could tell it of them.
     """
     while True:
-        process.learn_entries(await store.find_entries())
-        await asyncio.sleep(FIND_SECONDS)
+        process.learn_entries(await store.read_entry_addresses())
+        await asyncio.sleep(DISCOVERY_INTERVAL_SECONDS)
         while process.core.links.list_peers():
-            await asyncio.sleep(FIND_SECONDS)
+            await asyncio.sleep(DISCOVERY_INTERVAL_SECONDS)
--- a/src/godwitbank/_internal/platform/reports.py
+++ b/src/godwitbank/_internal/platform/reports.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from godwitbank._internal.operations.run_agent import RunAgentProcess
 
-PREFIX = "/-/instances/"
+INSTANCE_PATH_PREFIX = "/-/instances/"
 
 
 def make_reports_app(process: "RunAgentProcess") -> ASGIApp:
@@ -28,7 +28,7 @@
 
 
 async def _take(process: "RunAgentProcess", request: Request) -> Response:
-    instance = request.url.path.removeprefix(PREFIX)
+    instance = request.url.path.removeprefix(INSTANCE_PATH_PREFIX)
     if not instance or "/" in instance:
         return _respond({"error": "no such path"}, 404)
     if request.method == "DELETE":
--- a/src/godwitbank/_internal/platform/rows.py
+++ b/src/godwitbank/_internal/platform/rows.py
@@ -49,7 +49,7 @@
     part: str = ""
 
 
-class Change(NamedTuple):
+class RowChange(NamedTuple):
     """A row that is there or was removed, whether its value can be decoded or not."""
 
     key: str
@@ -57,23 +57,23 @@
     removed: bool
 
 
-class ReadRows(NamedTuple):
+class ReadResult(NamedTuple):
     """What a read of rows returned.
 
     :param version: the store's newest version at that moment.
-    :param unreadable: rows that could not be decoded.
+    :param undecodable_count: rows that could not be decoded.
     :param changes: all rows whose key could be decoded, in the store's order.
     :param has_more: whether there are rows behind these.
     """
 
     version: int
     rows: tuple[Row, ...]
-    unreadable: int
-    changes: tuple[Change, ...] = ()
+    undecodable_count: int
+    changes: tuple[RowChange, ...] = ()
     has_more: bool = False
 
 
-def decode_rows(body: bytes) -> ReadRows:
+def decode_rows(body: bytes) -> ReadResult:
     """Decode an answer with rows; those that were removed are left out.
 
     :raises msgspec.DecodeError: when it isn't the store's answer at all.
@@ -81,20 +81,24 @@
     wire = decode_json(_rows_decoder, body)
     rows = []
     changes = []
-    unreadable = 0
+    undecodable_count = 0
     for raw in wire.rows:
         try:
             row = decode_json(_row_decoder, raw)
-            changes.append(Change(row.key, row.part, row.removed))
+            changes.append(RowChange(row.key, row.part, row.removed))
             if not row.removed:
                 value = base64.b64decode(row.value, validate=True)
                 rows.append(Row(row.key, value, row.part))
         except (msgspec.DecodeError, ValueError):
-            unreadable += 1
-    return ReadRows(wire.ver, tuple(rows), unreadable, tuple(changes), wire.has_more)
+            undecodable_count += 1
+    return ReadResult(
+        wire.ver, tuple(rows), undecodable_count, tuple(changes), wire.has_more
+    )
 
 
-def find_evacuated(changes: Iterable[Change], before: Iterable[str]) -> frozenset[str]:
+def find_evacuated_zones(
+    changes: Iterable[RowChange], before: Iterable[str]
+) -> frozenset[str]:
     """Find the zones that are evacuated after some changes.
 
     The row alone asks for it, whatever it holds.
@@ -125,7 +129,7 @@
     return text
 
 
-def decode_kept_report(value: bytes) -> EndpointReport | None:
+def decode_stored_report(value: bytes) -> EndpointReport | None:
     """Decode a report that an agent has kept; ``None`` if it is anything else."""
     try:
         report = decode_json(_kept_decoder, value)
--- a/tests/platform/test_bodies.py
+++ b/tests/platform/test_bodies.py
@@ -10,9 +10,9 @@
 from godwitbank._internal.platform.bodies import (
     decode_configuration,
     decode_job,
-    decode_lists,
     decode_order_answer,
     decode_report,
+    decode_run_lists,
 )
 
 
@@ -99,7 +99,7 @@
         "running": [["t", 1, "", 41], ["u", 2, "c", 7, 1600]],
         "ended": [[58, "v", 1, "done", ""], [59, "w", 1, "lapsed", "c"]],
     }
-    clock, running, ended = decode_lists(json.dumps(body).encode())
+    clock, running, ended = decode_run_lists(json.dumps(body).encode())
     assert clock == 9
     assert [row.percent for row in running] == [41, 7]
     assert [row.end for row in ended] == [RunEnd.DONE, RunEnd.LOST]
--- a/tests/platform/test_evacuation.py
+++ b/tests/platform/test_evacuation.py
@@ -9,7 +9,11 @@
 from standins.fleet import wait_for
 from standins.platform_fleet import PlatformFleet
 
-from godwitbank._internal.platform.rows import Change, decode_rows, find_evacuated
+from godwitbank._internal.platform.rows import (
+    RowChange,
+    decode_rows,
+    find_evacuated_zones,
+)
 
 JOB = "000000000000"
 
@@ -25,7 +29,7 @@
         {"key": "evacuate/zone-3"},
     ]
     read = decode_rows(_encode(rows))
-    assert find_evacuated(read.changes, ()) == {"zone-1", "zone-2", "zone-3"}
+    assert find_evacuated_zones(read.changes, ()) == {"zone-1", "zone-2", "zone-3"}
 
 
 def test_the_last_of_several_changes_is_in_force() -> None:
@@ -36,16 +40,19 @@
         {"key": "evacuate/zone-1", "value": ""},
     ]
     read = decode_rows(_encode(rows))
-    assert find_evacuated(read.changes, {"zone-2", "zone-3"}) == {"zone-1", "zone-3"}
+    assert find_evacuated_zones(read.changes, {"zone-2", "zone-3"}) == {
+        "zone-1",
+        "zone-3",
+    }
 
 
 def test_rows_of_other_writers_evacuate_nothing() -> None:
     changes = [
-        Change("evacuate/zone-1", "theirs", False),
-        Change("config", "", False),
-        Change("evacuated/zone-2", "", False),
+        RowChange("evacuate/zone-1", "theirs", False),
+        RowChange("config", "", False),
+        RowChange("evacuated/zone-2", "", False),
     ]
-    assert find_evacuated(changes, ()) == frozenset()
+    assert find_evacuated_zones(changes, ()) == frozenset()
 
 
 @pytest.fixture
--- a/tests/platform/test_foreign_writers.py
+++ b/tests/platform/test_foreign_writers.py
@@ -16,13 +16,13 @@
 from godwitbank._internal.platform.bodies import (
     decode_configuration,
     decode_job,
-    decode_lists,
     decode_report,
+    decode_run_lists,
 )
 from godwitbank._internal.platform.rows import (
     decode_address,
-    decode_kept_report,
     decode_rows,
+    decode_stored_report,
 )
 
 REPORT = {
@@ -108,7 +108,7 @@
     assert [(row.key, row.value) for row in read.rows] == [
         ("entry-0", b"10.0.0.1:7720")
     ]
-    assert read.unreadable == 5
+    assert read.undecodable_count == 5
 
 
 @given(st.lists(json_values, max_size=4))
@@ -132,13 +132,13 @@
     report = EndpointReport(
         "i-1", "desk", Resources(16000, 64, 0), ("a",), False, 5, 4, "h:1"
     )
-    assert decode_kept_report(msgspec.json.encode(report)) == report
+    assert decode_stored_report(msgspec.json.encode(report)) == report
 
 
 @given(json_values, st.binary(max_size=40))
 def test_any_kept_report_is_read_or_passed_over(value: object, raw: bytes) -> None:
     for body in (_encode(value), raw):
-        kept = decode_kept_report(body)
+        kept = decode_stored_report(body)
         assert kept is None or min(kept.capacity) >= 0
 
 
@@ -158,7 +158,7 @@
     # Sequence: a row of the answer is too short. Cause: the error was none that
     # the caller of the decoder knew, so the renewal stayed under way for ever.
     with pytest.raises(msgspec.DecodeError):
-        decode_lists(_encode({"clock-ms": 1, **lists}))
+        decode_run_lists(_encode({"clock-ms": 1, **lists}))
 
 
 @given(st.sampled_from(["running", "ended"]), json_values, st.binary(max_size=40))
@@ -167,7 +167,7 @@
 ) -> None:
     for body in (_encode({"clock-ms": 1, field: value}), raw):
         try:
-            decode_lists(body)
+            decode_run_lists(body)
         except msgspec.DecodeError:
             continue
 
@@ -181,7 +181,7 @@
     [
         decode_rows,
         decode_configuration,
-        decode_lists,
+        decode_run_lists,
         partial(decode_report, "i-1"),
     ],
 )
--- a/tests/platform/test_watch.py
+++ b/tests/platform/test_watch.py
@@ -14,7 +14,7 @@
 from godwitbank._internal.core.runs.poll_limits import PollLimits
 from godwitbank._internal.models.jobs import Configuration, Evacuation
 from godwitbank._internal.network.http_client import NoAnswerError
-from godwitbank._internal.platform.operators import OperatorsWatch, Subscriber
+from godwitbank._internal.platform.operators import OperatorTableWatcher, Subscriber
 from godwitbank._internal.platform.store import StoreClient
 from tests.lib.virtual_time import run_virtually
 
@@ -149,8 +149,10 @@
         self.counts = Counts()
         client = StoreClient(self.store, "entry-0", self.log, self.counts)  # type: ignore[arg-type]
         subscriber = Subscriber(self._evacuate, self._configure, lambda: entries)
-        looks = PollLimits.from_deployment(deployment)
-        self._watch = OperatorsWatch(client, subscriber, looks, self.log, self.counts)  # type: ignore[arg-type]
+        poll_limits = PollLimits.from_deployment(deployment)
+        self._watch = OperatorTableWatcher(
+            client, subscriber, poll_limits, self.log, self.counts
+        )  # type: ignore[arg-type]
 
     async def __aenter__(self) -> "Scene":
         self._running = asyncio.ensure_future(self._watch.run())
