--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -12,59 +12,59 @@
 from godwitbank._internal.core.dispatch import Dispatcher
 from godwitbank._internal.core.pool import AgentView, Pool
 
-Choice = Callable[[Pool, float, bool], AgentView | None]
+ChooseAgent = Callable[[Pool, float, bool], AgentView | None]
 
 
-def _list_open(pool: Pool, now: float) -> list[AgentView]:
+def _list_available(pool: Pool, now: float) -> list[AgentView]:
     return [view for view in pool.views if pool.may_send_start(view, now)]
 
 
 def choose_random(pool: Pool, now: float, same_zone: bool) -> AgentView | None:
     """Choose any agent."""
     del same_zone
-    views = _list_open(pool, now)
+    views = _list_available(pool, now)
     return pool._rng.choice(views) if views else None
 
 
 def choose_of_two(pool: Pool, now: float, same_zone: bool) -> AgentView | None:
     """Choose the less loaded of two random agents, by what is known of them."""
     del same_zone
-    views = _list_open(pool, now)
+    views = _list_available(pool, now)
     if len(views) < 2:
         return views[0] if views else None
     first, second = pool._rng.sample(views, 2)
-    return first if _measure(first) <= _measure(second) else second
+    return first if _estimate_load(first) <= _estimate_load(second) else second
 
 
 def choose_least(pool: Pool, now: float, same_zone: bool) -> AgentView | None:
     """Choose the least loaded agent, by what is known of it."""
     del same_zone
-    views = _list_open(pool, now)
+    views = _list_available(pool, now)
     if not views:
         return None
-    return min(views, key=lambda view: (_measure(view), pool._rng.random()))
+    return min(views, key=lambda view: (_estimate_load(view), pool._rng.random()))
 
 
-def _measure(view: AgentView) -> float:
+def _estimate_load(view: AgentView) -> float:
     return max(len(view.outstanding), view.slots - view.free)
 
 
-CHOICES: dict[str, Choice] = {
+BASELINES: dict[str, ChooseAgent] = {
     "random": choose_random,
     "two": choose_of_two,
     "least": choose_least,
 }
 
 
-def install(name: str) -> None:
+def install_baseline(name: str) -> None:
     """Replace the dispatcher's choice in this process."""
-    if name in CHOICES:
-        Pool.choose = CHOICES[name]  # type: ignore
+    if name in BASELINES:
+        Pool.choose = BASELINES[name]  # type: ignore
         Dispatcher._announce_demand = (  # type: ignore
             lambda self, service: None
         )
 
 
 if __name__ == "__main__":
-    install(sys.argv.pop(1))
+    install_baseline(sys.argv.pop(1))
     run_entry()
--- a/bench/lab/__main__.py
+++ b/bench/lab/__main__.py
@@ -14,53 +14,62 @@
 
 from absl import app, flags
 
-from bench.lab.play import Outcome, Player
-from bench.lab.policies import find_policy
+from bench.lab.policies import parse_policy
 from bench.lab.scenario import Scenario
+from bench.lab.simulation import Outcome, Simulation
 
-SEEDS = flags.DEFINE_integer("seeds", 8, "seeds played, from --first")
-FIRST = flags.DEFINE_integer("first", 1, "first seed")
+SEED_COUNT = flags.DEFINE_integer("seeds", 8, "seeds played, from --first")
+FIRST_SEED = flags.DEFINE_integer("first", 1, "first seed")
 POLICIES = flags.DEFINE_list("policies", ["default"], "policies; the first is the base")
-JOBS = flags.DEFINE_integer("jobs", 8, "processes")
+PROCESS_COUNT = flags.DEFINE_integer("jobs", 8, "processes")
 
-FOLDER = Path(__file__).parent / "scenarios"
+SCENARIO_FOLDER = Path(__file__).parent / "scenarios"
 NORMAL_QUANTILE = 1.96
 
 
-def find_scenario(name: str) -> Scenario:
+def load_scenario(name: str) -> Scenario:
     """Read a scenario by its file or its name."""
     path = Path(name)
-    return Scenario.from_file(path if path.exists() else FOLDER / f"{name}.toml")
+    return Scenario.from_file(
+        path if path.exists() else SCENARIO_FOLDER / f"{name}.toml"
+    )
 
 
-def play_one(scenario: str, policy: str, seed: int) -> Outcome:
+def simulate_seed(scenario: str, policy: str, seed: int) -> Outcome:
     """Play one seed in this process."""
-    return Player(find_scenario(scenario), find_policy(policy), seed).play()
+    return Simulation(load_scenario(scenario), parse_policy(policy), seed).run()
 
 
-def describe_difference(base: list[float], other: list[float]) -> str:
+def format_difference(base: list[float], other: list[float]) -> str:
     """Tell the mean of paired differences with its 95 % interval."""
-    pairs = [theirs - ours for ours, theirs in zip(base, other, strict=True)]
-    if len(pairs) < 2:
-        return f"{mean(pairs):+.4f}"
-    half = NORMAL_QUANTILE * stdev(pairs) / math.sqrt(len(pairs))
-    return f"{mean(pairs):+.4f} +- {half:.4f}"
+    differences = [
+        other_worth - base_worth
+        for base_worth, other_worth in zip(base, other, strict=True)
+    ]
+    if len(differences) < 2:
+        return f"{mean(differences):+.4f}"
+    half_width = NORMAL_QUANTILE * stdev(differences) / math.sqrt(len(differences))
+    return f"{mean(differences):+.4f} +- {half_width:.4f}"
 
 
 def print_scenario(scenario: str, outcomes: dict[str, list[Outcome]]) -> None:
     """Print one line a policy."""
     print(f"\n{scenario}")
-    head = [*Outcome._fields[:2], "share", *Outcome._fields[2:]]
+    columns = [*Outcome._fields[:2], "share", *Outcome._fields[2:]]
     print(
-        f"{'policy':28}" + "".join(f"{each[:8]:>9}" for each in head) + "  difference"
+        f"{'policy':28}"
+        + "".join(f"{each[:8]:>9}" for each in columns)
+        + "  difference"
     )
     base = [each.worth for each in next(iter(outcomes.values()))]
-    for policy, played in outcomes.items():
-        worth, bound, *rest = (mean(column) for column in zip(*played, strict=True))
+    for policy, seed_results in outcomes.items():
+        worth, bound, *rest = (
+            mean(column) for column in zip(*seed_results, strict=True)
+        )
         figures = [worth, bound, worth / bound, *rest]
         row = "".join(f"{figure:9.4f}" for figure in figures)
-        own = [each.worth for each in played]
-        print(f"{policy:28}{row}  {describe_difference(base, own)}", flush=True)
+        worths = [each.worth for each in seed_results]
+        print(f"{policy:28}{row}  {format_difference(base, worths)}", flush=True)
 
 
 def main(argv: list[str]) -> int:
@@ -68,19 +77,19 @@
     if len(argv) < 2:
         print(__doc__, file=sys.stderr)
         return 2
-    seeds = range(FIRST.value, FIRST.value + SEEDS.value)
-    with ProcessPoolExecutor(JOBS.value) as pool:
-        started = {
+    seeds = range(FIRST_SEED.value, FIRST_SEED.value + SEED_COUNT.value)
+    with ProcessPoolExecutor(PROCESS_COUNT.value) as pool:
+        pending = {
             scenario: {
-                policy: [pool.submit(play_one, scenario, policy, s) for s in seeds]
+                policy: [pool.submit(simulate_seed, scenario, policy, s) for s in seeds]
                 for policy in POLICIES.value
             }
             for scenario in argv[1:]
         }
-        for scenario, by_policy in started.items():
+        for scenario, by_policy in pending.items():
             outcomes = {
-                policy: [each.result() for each in played]
-                for policy, played in by_policy.items()
+                policy: [each.result() for each in seed_results]
+                for policy, seed_results in by_policy.items()
             }
             print_scenario(scenario, outcomes)
     return 0
--- a/bench/lab/bound.py
+++ b/bench/lab/bound.py
@@ -11,11 +11,11 @@
 
 from typing import NamedTuple
 
-SLOT = 0.02
+SLOT_SECONDS = 0.02
 """Seconds of one slot; short against the shortest task."""
 
 
-class Piece(NamedTuple):
+class DivisibleJob(NamedTuple):
     """A job's work for the bound, in core-seconds."""
 
     arrival: float
@@ -24,8 +24,11 @@
     worth: float
 
 
-def bound_worth(
-    jobs: list[Piece], room: list[float], begin: float, late_share: float
+def compute_worth_bound(
+    jobs: list[DivisibleJob],
+    available_cores: list[float],
+    start: float,
+    late_share: float,
 ) -> float:
     """Bound the share of the worth that any scheduler could earn.
 
@@ -37,37 +40,50 @@
     >>> bound_worth([Piece(0.0, 1.0, 2.0, 1.0)], [1.0] * 50, 0.0, 0.0)
     0.5
     """
-    left = [cores * SLOT for cores in room]
+    free_core_seconds = [cores * SLOT_SECONDS for cores in available_cores]
     # For each slot the next earlier one with room, to skip what is full.
-    before = list(range(-1, len(left) - 1))
-    timely = 0.0
-    owed = sum(job.worth for job in jobs)
+    previous_slots = list(range(-1, len(free_core_seconds) - 1))
+    timely_worth = 0.0
+    total_worth = sum(job.worth for job in jobs)
     for job in sorted(jobs, key=lambda each: each.worth / each.work, reverse=True):
-        done = _fill(job, left, before, begin)
-        timely += job.worth * done / job.work
-    return round((timely + late_share * (owed - timely)) / max(owed, 1e-9), 4)
+        scheduled = _schedule_work(job, free_core_seconds, previous_slots, start)
+        timely_worth += job.worth * scheduled / job.work
+    return round(
+        (timely_worth + late_share * (total_worth - timely_worth))
+        / max(total_worth, 1e-9),
+        4,
+    )
 
 
-def _fill(job: Piece, left: list[float], before: list[int], begin: float) -> float:
-    first = int((job.arrival - begin) / SLOT)
+def _schedule_work(
+    job: DivisibleJob,
+    free_core_seconds: list[float],
+    previous_slots: list[int],
+    start: float,
+) -> float:
+    first_slot = int((job.arrival - start) / SLOT_SECONDS)
     # Whole slots: a little more than there is, as befits a bound from above.
-    slot = min(int((job.due - begin) / SLOT + 0.999) - 1, len(left) - 1)
-    need = job.work
-    while need > 1e-12 and slot >= first and slot >= 0:
-        slot = _find_room(slot, left, before)
-        if slot < first or slot < 0:
+    slot = min(
+        int((job.due - start) / SLOT_SECONDS + 0.999) - 1, len(free_core_seconds) - 1
+    )
+    unscheduled = job.work
+    while unscheduled > 1e-12 and slot >= first_slot and slot >= 0:
+        slot = _find_free_slot(slot, free_core_seconds, previous_slots)
+        if slot < first_slot or slot < 0:
             break
-        taken = min(need, left[slot])
-        left[slot] -= taken
-        need -= taken
-    return job.work - max(need, 0.0)
+        used = min(unscheduled, free_core_seconds[slot])
+        free_core_seconds[slot] -= used
+        unscheduled -= used
+    return job.work - max(unscheduled, 0.0)
 
 
-def _find_room(slot: int, left: list[float], before: list[int]) -> int:
-    path = []
-    while slot >= 0 and left[slot] <= 1e-12:
-        path.append(slot)
-        slot = before[slot]
-    for each in path:
-        before[each] = slot
+def _find_free_slot(
+    slot: int, free_core_seconds: list[float], previous_slots: list[int]
+) -> int:
+    visited = []
+    while slot >= 0 and free_core_seconds[slot] <= 1e-12:
+        visited.append(slot)
+        slot = previous_slots[slot]
+    for each in visited:
+        previous_slots[each] = slot
     return slot
--- a/bench/lab/scenario.py
+++ b/bench/lab/scenario.py
@@ -22,7 +22,7 @@
     worth: float
 
 
-class Wave(NamedTuple):
+class DemandSurge(NamedTuple):
     """More jobs for a while.
 
     :param factor: multiple of the ordinary rate.
@@ -77,7 +77,7 @@
     impatient: float
     leave_after: float
     demands: tuple[Demand, ...]
-    waves: tuple[Wave, ...]
+    waves: tuple[DemandSurge, ...]
     faults: tuple[Fault, ...]
 
     @classmethod
@@ -85,7 +85,7 @@
         """Read a scenario; ``base`` names a file whose fields it takes over."""
         values = _read_values(path)
         values["demands"] = tuple(Demand(**each) for each in values["demands"])
-        values["waves"] = tuple(Wave(**each) for each in values.get("waves", ()))
+        values["waves"] = tuple(DemandSurge(**each) for each in values.get("waves", ()))
         values["faults"] = tuple(Fault(**each) for each in values.get("faults", ()))
         for field in ("sizes", "speeds"):
             values[field] = tuple(values[field])
--- a/bench/load.py
+++ b/bench/load.py
@@ -14,8 +14,8 @@
 
 from bench.trace import Arrival
 
-CLIENT_SECONDS = 90.0
-CLIENTS = 64
+CLIENT_TIMEOUT_SECONDS = 90.0
+CLIENT_COUNT = 64
 """Clients among which requests are shared out.
 
 The library looks at every connection of a client for each request; a single client
@@ -33,77 +33,79 @@
     status: int
     reason: str
     seconds: float
-    right: bool
+    is_correct: bool
 
 
-def make_body(arrival: Arrival, number: int, kind: str, deadline: float) -> bytes:
+def make_body(
+    arrival: Arrival, number: int, class_name: str, deadline_seconds: float
+) -> bytes:
     """Encode an arrival as a request or job."""
     tasks: list[dict[str, Any]] = [
         {
             "id": f"t{position}",
-            "class": kind,
+            "class": class_name,
             "payload": {"run_ms": run * 1000, "nonce": f"{number}:{position}"},
         }
         for position, run in enumerate(arrival.runs)
     ]
     if arrival.single:
-        body = {"class": kind, "payload": tasks[0]["payload"]}
+        body = {"class": class_name, "payload": tasks[0]["payload"]}
     else:
         body = {"tasks": tasks}
-    return json.dumps({**body, "deadline_seconds": deadline}).encode()
+    return json.dumps({**body, "deadline_seconds": deadline_seconds}).encode()
 
 
-def _is_right(arrival: Arrival, number: int, answer: Any) -> bool:
+def _is_correct(arrival: Arrival, number: int, response: Any) -> bool:
     if arrival.single:
-        return bool(answer["nonce"] == f"{number}:0")
-    nonces = [row["body"]["nonce"] for row in answer["answers"]]
+        return bool(response["nonce"] == f"{number}:0")
+    nonces = [row["body"]["nonce"] for row in response["answers"]]
     return nonces == [f"{number}:{position}" for position in range(len(arrival.runs))]
 
 
 async def _send(
-    client: httpx.AsyncClient, url: str, body: bytes, due: float, result: list[Any]
+    client: httpx.AsyncClient, url: str, body: bytes, due: float, cell: list[Any]
 ) -> None:
-    arrival, number = result
+    arrival, number = cell
     path = "requests" if arrival.single else "jobs"
     try:
-        answer = await client.post(f"{url}/{path}", content=body)
+        response = await client.post(f"{url}/{path}", content=body)
     except httpx.HTTPError as error:
         seconds = time.monotonic() - due
-        result[:] = [Result(arrival, 0, type(error).__name__, seconds, False)]
+        cell[:] = [Result(arrival, 0, type(error).__name__, seconds, False)]
         return
     seconds = time.monotonic() - due
-    right = answer.is_success and _is_right(arrival, number, answer.json())
-    reason = "" if answer.is_success else answer.json()["type"].rpartition(":")[2]
-    result[:] = [Result(arrival, answer.status_code, reason, seconds, right)]
+    is_correct = response.is_success and _is_correct(arrival, number, response.json())
+    reason = "" if response.is_success else response.json()["type"].rpartition(":")[2]
+    cell[:] = [Result(arrival, response.status_code, reason, seconds, is_correct)]
 
 
 async def run_trace(
-    trace: list[Arrival], urls: list[str], kind: str, deadline: float
+    trace: list[Arrival], urls: list[str], class_name: str, deadline_seconds: float
 ) -> list[Result]:
     """Send a trace to some entries in turn and collect what became of it."""
     async with contextlib.AsyncExitStack() as stack:
         clients = [
             await stack.enter_async_context(
-                httpx.AsyncClient(timeout=CLIENT_SECONDS, verify=False)
+                httpx.AsyncClient(timeout=CLIENT_TIMEOUT_SECONDS, verify=False)
             )
-            for _ in range(CLIENTS)
+            for _ in range(CLIENT_COUNT)
         ]
         bodies = [
-            make_body(arrival, number, kind, deadline)
+            make_body(arrival, number, class_name, deadline_seconds)
             for number, arrival in enumerate(trace)
         ]
         results: list[list[Any]] = []
         tasks = []
-        began = time.monotonic() + 0.1
+        started = time.monotonic() + 0.1
         for number, arrival in enumerate(trace):
-            due = began + arrival.at
+            due = started + arrival.at
             delay = due - time.monotonic()
             if delay > 0:
                 await asyncio.sleep(delay)
             cell: list[Any] = [arrival, number]
             results.append(cell)
             url = urls[number % len(urls)]
-            client = clients[number % CLIENTS]
+            client = clients[number % CLIENT_COUNT]
             sending = _send(client, url, bodies[number], due, cell)
             tasks.append(asyncio.create_task(sending))
         await asyncio.gather(*tasks)
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -19,13 +19,13 @@
 from standins.fleet import Fleet
 
 from bench.load import Result, run_trace
-from bench.trace import Arrival, bound, find_ideal, make_trace
+from bench.trace import Arrival, compute_ideal_seconds, make_trace, simulate_ideal
 
-AGENTS = 11
-SLOTS = 8
-ENTRIES = 3
-DEADLINE = 30.0
-WASTED = (
+AGENT_COUNT = 11
+SLOTS_PER_AGENT = 8
+ENTRY_COUNT = 3
+DEADLINE_SECONDS = 30.0
+WASTED_MESSAGES = (
     ("starts_returned", 2),
     ("resolves_sent", 2),
     ("recalls", 2),
@@ -34,8 +34,8 @@
 )
 """Counters of an entry that mean wasted messages, and how many each."""
 
-CONTROL = ("wants_sent", "loads_told")
-OUT = Path("docs/measurements")
+CONTROL_COUNTERS = ("wants_sent", "loads_told")
+OUTPUT_FOLDER = Path("docs/measurements")
 
 
 class Policy(NamedTuple):
@@ -65,8 +65,8 @@
     """Delays of one of the users' deployments, in seconds one way."""
 
     name: str
-    between: float
-    client: float
+    vm_delay_seconds: float
+    client_delay_seconds: float
 
 
 DEPLOYMENTS = {
@@ -80,7 +80,7 @@
     path = folder / "bench.toml"
     path.write_text(
         f'[service]\nname = "desk"\nteam = "bench"\n'
-        f"[endpoint]\nslots = {SLOTS}\nparked = {policy.parked}\n"
+        f"[endpoint]\nslots = {SLOTS_PER_AGENT}\nparked = {policy.parked}\n"
         f"[policy]\nmessage_weight = {policy.message_weight}\n"
         f"stretch = {policy.stretch}\n"
         "[class.size-change]\ndeadline_seconds = 60\nexpected_seconds = 0.6\n"
@@ -89,11 +89,11 @@
 
 
 def start_fleet(
-    folder: Path, policy: Policy, deployment: Deployment, agents: int = AGENTS
+    folder: Path, policy: Policy, deployment: Deployment, agents: int = AGENT_COUNT
 ) -> tuple[Fleet, list[str]]:
     """Start a deployment; returns it and the callers' URLs."""
-    fleet = Fleet(folder, delay=deployment.between)
-    for _ in range(ENTRIES):
+    fleet = Fleet(folder, delay=deployment.vm_delay_seconds)
+    for _ in range(ENTRY_COUNT):
         fleet.start_entry(wait=False, baseline=policy.baseline)
     fleet.balance()
     for entry in fleet.entries:
@@ -101,10 +101,11 @@
     applied = fleet.operate("apply", str(write_document(folder, policy)))
     assert applied.returncode == 0, applied.stderr
     for _ in range(agents):
-        fleet.start_endpoint(fleet.start_agent(proxied=True), slots=SLOTS)
+        fleet.start_endpoint(fleet.start_agent(proxied=True), slots=SLOTS_PER_AGENT)
     fleet.await_agents(agents)
     ports = [
-        fleet.proxy(entry.http, delay=deployment.client) for entry in fleet.entries
+        fleet.proxy(entry.http, delay=deployment.client_delay_seconds)
+        for entry in fleet.entries
     ]
     return fleet, [f"http://127.0.0.1:{port}/v1/services/desk" for port in ports]
 
@@ -138,7 +139,7 @@
     }
 
 
-def split(
+def summarise_groups(
     rows: list[tuple[Arrival, float]], round_trip: float, slots: int
 ) -> dict[str, Any]:
     """Summarise response times: all, requests and jobs, short and long."""
@@ -157,23 +158,23 @@
     for name, members in groups.items():
         seconds = [each for _, each in members]
         ratios = [
-            each / (find_ideal(arrival, slots) + round_trip)
+            each / (compute_ideal_seconds(arrival, slots) + round_trip)
             for arrival, each in members
         ]
         summary[name] = _summarise(ratios, seconds)
     return summary
 
 
-def analyse(
+def summarise_run(
     trace: list[Arrival],
     results: list[Result],
     counters: Counter[str],
     deployment: Deployment,
     seconds: float,
-    slots: int = AGENTS * SLOTS,
+    slots: int = AGENT_COUNT * SLOTS_PER_AGENT,
 ) -> dict[str, Any]:
     """Work out every measure of one run."""
-    round_trip = 2 * (deployment.between + deployment.client)
+    round_trip = 2 * (deployment.vm_delay_seconds + deployment.client_delay_seconds)
     answered = [result for result in results if result.status == 200]
     tasks = sum(len(result.arrival.runs) for result in answered)
     # Only what was answered while the load lasted: a backlog worked off later
@@ -183,14 +184,14 @@
         for result in answered
         if result.arrival.at + result.seconds <= seconds
     )
-    wasted = {name: counters[name] * each for name, each in WASTED}
+    wasted = {name: counters[name] * each for name, each in WASTED_MESSAGES}
     rows = [(result.arrival, result.seconds) for result in answered]
     refused = [result for result in results if result.status != 200]
     refusal_times = [each.seconds for each in refused if each.status == 503]
     return {
         "arrivals": len(trace),
         "answered": len(answered),
-        "wrong": sum(not result.right for result in answered),
+        "wrong": sum(not result.is_correct for result in answered),
         "tasks": tasks,
         "goodput": work / (seconds * slots),
         "refused": dict(Counter(result.reason for result in refused)),
@@ -201,19 +202,20 @@
         ),
         "wasted_per_task": sum(wasted.values()) / max(tasks, 1),
         "wasted": wasted,
-        "control_per_task": sum(counters[name] for name in CONTROL) / max(tasks, 1),
-        "measured": split(rows, round_trip, slots),
+        "control_per_task": sum(counters[name] for name in CONTROL_COUNTERS)
+        / max(tasks, 1),
+        "measured": summarise_groups(rows, round_trip, slots),
     }
 
 
-def analyse_bound(trace: list[Arrival], round_trip: float, stretch: float) -> Any:
+def summarise_bound(trace: list[Arrival], round_trip: float, stretch: float) -> Any:
     """Work out the bound's measures; its responses get the same round trip."""
-    slots = AGENTS * SLOTS
+    slots = AGENT_COUNT * SLOTS_PER_AGENT
     rows = [
         (response.arrival, response.seconds + round_trip)
-        for response in bound(trace, slots, stretch)
+        for response in simulate_ideal(trace, slots, stretch)
     ]
-    return split(rows, round_trip, slots)
+    return summarise_groups(rows, round_trip, slots)
 
 
 def run_one(
@@ -225,7 +227,7 @@
     deadline: float,
 ) -> dict[str, Any]:
     """Run one policy on one trace in a fresh fleet."""
-    trace = make_trace(seed, seconds, AGENTS * SLOTS, load)
+    trace = make_trace(seed, seconds, AGENT_COUNT * SLOTS_PER_AGENT, load)
     with tempfile.TemporaryDirectory() as folder:
         fleet, urls = start_fleet(Path(folder), policy, deployment)
         try:
@@ -234,31 +236,31 @@
             counters = read_counters(fleet) - before
         finally:
             fleet.stop()
-    return analyse(trace, results, counters, deployment, seconds)
+    return summarise_run(trace, results, counters, deployment, seconds)
 
 
-def render(row: dict[str, Any]) -> str:
+def format_row(row: dict[str, Any]) -> str:
     """Render one run as a line of the table."""
-    measured, base = row["run"]["measured"], row["bound_rank"]
-    fifo = row["bound_first_come"]
-    one = measured["requests"].get("ratio_mean", 0)
-    job = measured["jobs"].get("ratio_mean", 0)
+    measured, rank_bound = row["run"]["measured"], row["bound_rank"]
+    fifo_bound = row["bound_first_come"]
+    request_ratio = measured["requests"].get("ratio_mean", 0)
+    job_ratio = measured["jobs"].get("ratio_mean", 0)
     mean = measured["all"]["seconds_mean"]
     p99 = measured["all"]["seconds_p99"]
     return (
         f"{row['deployment']:9} {row['load']:4.0%} {row['policy']:24}"
-        f" mean {mean:6.3f} s ({mean / fifo['all']['seconds_mean']:4.2f} fifo,"
-        f" {mean / base['all']['seconds_mean']:4.2f} rank)"
-        f" p99 {p99:6.2f} ({p99 / fifo['all']['seconds_p99']:4.2f},"
-        f" {p99 / base['all']['seconds_p99']:4.2f})"
-        f" request/ideal {one:5.2f} job/ideal {job:5.2f}"
+        f" mean {mean:6.3f} s ({mean / fifo_bound['all']['seconds_mean']:4.2f} fifo,"
+        f" {mean / rank_bound['all']['seconds_mean']:4.2f} rank)"
+        f" p99 {p99:6.2f} ({p99 / fifo_bound['all']['seconds_p99']:4.2f},"
+        f" {p99 / rank_bound['all']['seconds_p99']:4.2f})"
+        f" request/ideal {request_ratio:5.2f} job/ideal {job_ratio:5.2f}"
         f" wasted {row['run']['wasted_per_task']:.3f}"
         f" control {row['run']['control_per_task']:.2f}"
         f" goodput {row['run']['goodput']:.2f} refused {row['run']['refused']}"
     )
 
 
-def plot(rows: list[dict[str, Any]]) -> None:
+def plot_rows(rows: list[dict[str, Any]]) -> None:
     """Draw mean response over the bound's, by load."""
     import matplotlib
 
@@ -284,7 +286,7 @@
             axis.set_yscale("log")
     axes[0].legend(fontsize=8)
     figure.tight_layout()
-    figure.savefig(OUT / "policies.svg")
+    figure.savefig(OUTPUT_FOLDER / "policies.svg")
 
 
 def main() -> None:
@@ -295,20 +297,22 @@
     parser.add_argument("--policies", default="all", help="names, parted by ';'")
     parser.add_argument("--deployment", default="anadolu")
     parser.add_argument("--runs", type=int, default=1)
-    parser.add_argument("--deadline", type=float, default=DEADLINE)
+    parser.add_argument("--deadline", type=float, default=DEADLINE_SECONDS)
     parser.add_argument("--name", default="policies")
     arguments = parser.parse_args()
-    OUT.mkdir(parents=True, exist_ok=True)
+    OUTPUT_FOLDER.mkdir(parents=True, exist_ok=True)
     deployment = DEPLOYMENTS[arguments.deployment]
     chosen = arguments.policies.split(";")
-    wanted = [p for p in POLICIES if p.name in chosen or arguments.policies == "all"]
-    round_trip = 2 * (deployment.between + deployment.client)
+    selected = [p for p in POLICIES if p.name in chosen or arguments.policies == "all"]
+    round_trip = 2 * (deployment.vm_delay_seconds + deployment.client_delay_seconds)
     rows = []
     for run in range(arguments.runs):
         for load in (float(each) for each in arguments.loads.split(",")):
             seed = 1000 + run
-            trace = make_trace(seed, arguments.seconds, AGENTS * SLOTS, load)
-            for policy in wanted:
+            trace = make_trace(
+                seed, arguments.seconds, AGENT_COUNT * SLOTS_PER_AGENT, load
+            )
+            for policy in selected:
                 row = {
                     "deployment": deployment.name,
                     "policy": policy.name,
@@ -324,14 +328,14 @@
                         seed,
                         arguments.deadline,
                     ),
-                    "bound_first_come": analyse_bound(trace, round_trip, 0.0),
-                    "bound_rank": analyse_bound(trace, round_trip, 16.0),
+                    "bound_first_come": summarise_bound(trace, round_trip, 0.0),
+                    "bound_rank": summarise_bound(trace, round_trip, 16.0),
                 }
                 rows.append(row)
-                print(render(row), flush=True)
-                path = OUT / f"{arguments.name}.json"
+                print(format_row(row), flush=True)
+                path = OUTPUT_FOLDER / f"{arguments.name}.json"
                 path.write_text(json.dumps(rows, indent=1))
-    plot(rows)
+    plot_rows(rows)
 
 
 if __name__ == "__main__":
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -41,11 +41,11 @@
 from godwitbank._internal.models.tasks import Submission, TaskKey, TaskSpec
 from godwitbank._internal.network.codec import encode
 
-OUT = Path("docs/measurements")
+OUTPUT_FOLDER = Path("docs/measurements")
 STUB_PROCESSES = 4
 SETTLE_SECONDS = 2.0
-RATES = (250, 500, 1000, 1500, 2000)
-REQUEST_RATES = (25, 50, 100, 200, 300)
+STARTS_PER_SECOND = (250, 500, 1000, 1500, 2000)
+REQUESTS_PER_SECOND = (25, 50, 100, 200, 300)
 
 
 class Slope(NamedTuple):
@@ -63,7 +63,9 @@
     points: list[tuple[float, float]]
 
 
-def fit(name: str, per: str, unit: str, points: list[tuple[float, float]]) -> Slope:
+def fit_line(
+    name: str, per: str, unit: str, points: list[tuple[float, float]]
+) -> Slope:
     """Fit a line and print it."""
     line = statistics.linear_regression([x for x, _ in points], [y for _, y in points])
     spread = max(abs(y - line.intercept - line.slope * x) for x, y in points)
@@ -134,15 +136,15 @@
     body = json.dumps({"tasks": tasks}).encode()
     limits = httpx.Limits(max_connections=1000)
     async with httpx.AsyncClient(timeout=60, limits=limits) as client:
-        sends = []
-        began = time.monotonic()
+        requests = []
+        started = time.monotonic()
         for number in range(int(rate * seconds / size)):
-            delay = began + number * size / rate - time.monotonic()
+            delay = started + number * size / rate - time.monotonic()
             if delay > 0:
                 await asyncio.sleep(delay)
-            sends.append(asyncio.create_task(client.post(url, content=body)))
-        answers = await asyncio.gather(*sends)
-    return sum(size for answer in answers if answer.is_success)
+            requests.append(asyncio.create_task(client.post(url, content=body)))
+        responses = await asyncio.gather(*requests)
+    return sum(size for response in responses if response.is_success)
 
 
 def measure_entry_starts(size: int) -> Slope:
@@ -153,27 +155,27 @@
         try:
             _start_stubs(fleet, 12, STUB_PROCESSES)
             url = f"http://127.0.0.1:{fleet.entries[0].http}/v1/services/desk/jobs"
-            for rate in RATES if size > 1 else REQUEST_RATES:
-                before, began = read_cpu(fleet.entries[0]), time.monotonic()
+            for rate in STARTS_PER_SECOND if size > 1 else REQUESTS_PER_SECOND:
+                before, started = read_cpu(fleet.entries[0]), time.monotonic()
                 done = asyncio.run(_send_jobs(url, rate, size, 5.0))
-                took = time.monotonic() - began
-                used = read_cpu(fleet.entries[0]) - before
-                points.append((done / took, used / took))
+                elapsed = time.monotonic() - started
+                cpu_seconds = read_cpu(fleet.entries[0]) - before
+                points.append((done / elapsed, cpu_seconds / elapsed))
         finally:
             fleet.stop()
-    return fit(f"entry, jobs of {size}", "start/s", "core", points)
+    return fit_line(f"entry, jobs of {size}", "start/s", "core", points)
 
 
-def find_entry_limit() -> float:
+def measure_entry_limit() -> float:
     """Offer one entry more than it can take; returns its starts a second."""
     with tempfile.TemporaryDirectory() as folder:
         fleet = _start_entry(folder)
         try:
             _start_stubs(fleet, 12, STUB_PROCESSES)
             url = f"http://127.0.0.1:{fleet.entries[0].http}/v1/services/desk/jobs"
-            began = time.monotonic()
+            started = time.monotonic()
             done = asyncio.run(_send_jobs(url, 6000, 100, 4.0))
-            rate = done / (time.monotonic() - began)
+            rate = done / (time.monotonic() - started)
         finally:
             fleet.stop()
     print(f"one entry, jobs of 100, offered 6000: {rate:.0f} starts a second")
@@ -189,17 +191,17 @@
             try:
                 _start_stubs(fleet, count, STUB_PROCESSES)
                 time.sleep(SETTLE_SECONDS)
-                before, began = read_cpu(fleet.entries[0]), time.monotonic()
+                before, started = read_cpu(fleet.entries[0]), time.monotonic()
                 time.sleep(6.0)
-                took = time.monotonic() - began
-                used = read_cpu(fleet.entries[0]) - before
-                cpu.append((float(count), used / took))
+                elapsed = time.monotonic() - started
+                cpu_seconds = read_cpu(fleet.entries[0]) - before
+                cpu.append((float(count), cpu_seconds / elapsed))
                 memory.append((float(count), read_memory(fleet.entries[0])))
             finally:
                 fleet.stop()
     return [
-        fit("entry, idle", "agent", "core", cpu),
-        fit("entry, resident", "agent", "byte", memory),
+        fit_line("entry, idle", "agent", "core", cpu),
+        fit_line("entry, resident", "agent", "byte", memory),
     ]
 
 
@@ -215,16 +217,16 @@
                 address = f"127.0.0.1:{agent.stream}"
                 fleet._run("stubs", "-m", "bench.stubs", "entries", str(count), address)
                 time.sleep(SETTLE_SECONDS)
-                before, began = read_cpu(agent), time.monotonic()
+                before, started = read_cpu(agent), time.monotonic()
                 time.sleep(6.0)
-                took = time.monotonic() - began
-                cpu.append((float(count), (read_cpu(agent) - before) / took))
+                elapsed = time.monotonic() - started
+                cpu.append((float(count), (read_cpu(agent) - before) / elapsed))
                 memory.append((float(count), read_memory(agent)))
             finally:
                 fleet.stop()
     return [
-        fit("agent, idle", "entry", "core", cpu),
-        fit("agent, resident", "entry", "byte", memory),
+        fit_line("agent, idle", "entry", "core", cpu),
+        fit_line("agent, resident", "entry", "byte", memory),
     ]
 
 
@@ -239,16 +241,16 @@
             fleet.await_agents(1)
             url = f"http://127.0.0.1:{fleet.entries[0].http}/v1/services/desk/jobs"
             for rate in (20, 40, 80, 120, 160):
-                before, began = read_cpu(agent), time.monotonic()
+                before, started = read_cpu(agent), time.monotonic()
                 done = asyncio.run(_send_jobs(url, rate, 10, 5.0))
-                took = time.monotonic() - began
-                points.append((done / took, (read_cpu(agent) - before) / took))
+                elapsed = time.monotonic() - started
+                points.append((done / elapsed, (read_cpu(agent) - before) / elapsed))
         finally:
             fleet.stop()
-    return fit("agent, starting", "start/s", "core", points)
+    return fit_line("agent, starting", "start/s", "core", points)
 
 
-def measure_spread() -> list[tuple[float, float]]:
+def measure_propagation() -> list[tuple[float, float]]:
     """Measure how long an apply takes to be in force everywhere."""
     points = []
     with tempfile.TemporaryDirectory() as folder:
@@ -271,36 +273,39 @@
 
 def _time_apply(fleet: Fleet, folder: str) -> float:
     applied = fleet.operate("apply", str(Path(folder) / "bench.toml"))
-    began = time.monotonic()
+    started = time.monotonic()
     revision = int(applied.stdout.split()[-1])
 
     def spread() -> bool:
-        everyone = [
+        statuses = [
             httpx.get(f"http://127.0.0.1:{each.http}/v1/{path}").json()
-            for path, many in (("status", fleet.entries), ("endpoint", fleet.agents))
-            for each in many
+            for path, processes in (
+                ("status", fleet.entries),
+                ("endpoint", fleet.agents),
+            )
+            for each in processes
         ]
-        return all(each["revisions"].get("desk") == revision for each in everyone)
+        return all(each["revisions"].get("desk") == revision for each in statuses)
 
     wait_for(spread, "the revision everywhere")
-    return time.monotonic() - began
+    return time.monotonic() - started
 
 
 # In this process
 
 
-def _trace_memory(make: Callable[[int], object], sizes: tuple[int, ...]) -> Any:
+def _measure_memory(build: Callable[[int], object], sizes: tuple[int, ...]) -> Any:
     points = []
     for size in sizes:
         tracemalloc.start()
-        kept = make(size)
+        built = build(size)
         points.append((float(size), float(tracemalloc.get_traced_memory()[0])))
         tracemalloc.stop()
-        del kept
+        del built
     return points
 
 
-def _fill_memory(count: int) -> TaskHistory:
+def _fill_history(count: int) -> TaskHistory:
     memory = TaskHistory(max_records=10**9)
     for number in range(count):
         key = TaskKey(f"{number:032x}", number % 460, 1)
@@ -311,7 +316,7 @@
     return memory
 
 
-def _fill_jobs(count: int) -> list[Any]:
+def _fill_queue(count: int) -> list[Any]:
     queue = ServiceQueue()
     queue.set_class("c", 1.0, 0.3)
     jobs: list[Any] = [queue]
@@ -324,17 +329,17 @@
     return jobs
 
 
-def _fill_documents(count: int) -> list[Any]:
+def _install_documents(count: int) -> list[Any]:
     text = Path("demo/desk.toml").read_text()
     catalog = Catalog()
-    kept: list[Any] = [catalog]
+    built: list[Any] = [catalog]
     for number in range(count):
         name = f"service-{number}"
         catalog.install(name, 1, text.replace('"desk"', f'"{name}"'))
-        held = catalog.find(name)
-        assert held is not None
-        kept.append(Service(held, Random(1), "a", 3.0, 0.0))
-    return kept
+        installed = catalog.find(name)
+        assert installed is not None
+        built.append(Service(installed, Random(1), "a", 3.0, 0.0))
+    return built
 
 
 def measure_choice() -> Slope:
@@ -348,11 +353,11 @@
             view.connect(number + 1, "i", 0.0, 0.0)
             view.update_free_slots(number % 8, 0)
             pool.views.append(view)
-        began = time.perf_counter()
+        started = time.perf_counter()
         for _ in range(200):
             pool.choose(0.1, True)
-        points.append((float(count), (time.perf_counter() - began) / 200 * 1e6))
-    return fit("choice of an agent", "agent of the service", "microsecond", points)
+        points.append((float(count), (time.perf_counter() - started) / 200 * 1e6))
+    return fit_line("choice of an agent", "agent of the service", "microsecond", points)
 
 
 def measure_frames() -> dict[str, int]:
@@ -379,43 +384,43 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--only", default="")
     only = parser.parse_args().only
-    OUT.mkdir(parents=True, exist_ok=True)
-    path = OUT / "slopes.json"
-    found = json.loads(path.read_text()) if path.exists() else {}
+    OUTPUT_FOLDER.mkdir(parents=True, exist_ok=True)
+    path = OUTPUT_FOLDER / "slopes.json"
+    results = json.loads(path.read_text()) if path.exists() else {}
     measures: dict[str, Callable[[], Any]] = {
         "frames": measure_frames,
-        "remembered": lambda: fit(
+        "remembered": lambda: fit_line(
             "agent, remembered task",
             "task",
             "byte",
-            _trace_memory(_fill_memory, (1000, 5000, 20000, 50000)),
+            _measure_memory(_fill_history, (1000, 5000, 20000, 50000)),
         ),
-        "waiting": lambda: fit(
+        "waiting": lambda: fit_line(
             "entry, waiting task",
             "task",
             "byte",
-            _trace_memory(_fill_jobs, (1000, 5000, 20000, 50000)),
+            _measure_memory(_fill_queue, (1000, 5000, 20000, 50000)),
         ),
-        "documents": lambda: fit(
+        "documents": lambda: fit_line(
             "entry, document",
             "document",
             "byte",
-            _trace_memory(_fill_documents, (50, 200, 400, 660)),
+            _measure_memory(_install_documents, (50, 200, 400, 660)),
         ),
         "choice": measure_choice,
         "entry starts 100": lambda: measure_entry_starts(100),
         "entry starts 460": lambda: measure_entry_starts(460),
         "entry requests": lambda: measure_entry_starts(1),
-        "entry limit": find_entry_limit,
+        "entry limit": measure_entry_limit,
         "agent starts": measure_agent_starts,
         "entry agents": measure_entry_agents,
         "agent entries": measure_agent_entries,
-        "spread": measure_spread,
+        "spread": measure_propagation,
     }
     for name, measure in measures.items():
         if not only or name in only.split(","):
-            found[name] = measure()
-            path.write_text(json.dumps(found, indent=1))
+            results[name] = measure()
+            path.write_text(json.dumps(results, indent=1))
 
 
 if __name__ == "__main__":
--- a/bench/stubs.py
+++ b/bench/stubs.py
@@ -35,9 +35,9 @@
 from godwitbank._internal.operations.inbox import Inbox
 
 SLOTS = 64
-LEASE = 1e9
-ANNOUNCE_SECONDS = 1.0
-HEARTBEAT = 1.0
+LEASE_SECONDS = 1e9
+ANNOUNCE_INTERVAL_SECONDS = 1.0
+HEARTBEAT_INTERVAL_SECONDS = 1.0
 
 
 class StubAgent:
@@ -48,13 +48,16 @@
         identity = Identity(f"stub-{number}", uuid.uuid4().hex, address, "a")
         self.core = AgentCore(identity, Timing(), time.monotonic())
         self.inbox = Inbox(
-            self.core, self.perform, lambda: self.core.next_wakeup, time.monotonic
+            self.core,
+            self.perform_actions,
+            lambda: self.core.next_wakeup,
+            time.monotonic,
         )
-        self.greeting = make_hello(identity, Role.AGENT)
-        events = StreamEvents(self.inbox.put, self.core.counts.add)
-        self.streams = StreamTable(events, self.greeting)
+        self.hello = make_hello(identity, Role.AGENT)
+        callbacks = StreamEvents(self.inbox.put, self.core.counts.add)
+        self.streams = StreamTable(callbacks, self.hello)
 
-    def perform(self, actions: list[Action]) -> None:
+    def perform_actions(self, actions: list[Action]) -> None:
         """Carry out the core's actions."""
         writes: dict[int, list[Any]] = {}
         for action in actions:
@@ -63,33 +66,35 @@
             elif isinstance(action, RunTask):
                 seconds = json.loads(action.payload)["run_ms"] / 1000
                 loop = asyncio.get_running_loop()
-                loop.call_later(seconds, self.end, action, seconds)
+                loop.call_later(seconds, self.finish_task, action, seconds)
             elif isinstance(action, CloseStream):
                 self.streams.close(action.stream, silent=False)
         for stream, messages in writes.items():
             self.streams.write(stream, messages)
 
-    def end(self, task: RunTask, seconds: float) -> None:
+    def finish_task(self, task: RunTask, seconds: float) -> None:
         """End a task as an endpoint would."""
-        kind = "application/json"
-        ended = RunEnded(task.key, Ending.ANSWERED, 200, kind, task.payload, seconds)
+        content_type = "application/json"
+        ended = RunEnded(
+            task.key, Ending.ANSWERED, 200, content_type, task.payload, seconds
+        )
         self.inbox.put(ended)
 
     async def run(self, port: int, entry: str) -> None:
         """Serve, and announce to one entry until it dials."""
         loop = asyncio.get_running_loop()
         await loop.create_server(self.streams.make_accepted, "127.0.0.1", port)
-        owner = asyncio.create_task(self.inbox.run())
-        self.inbox.put(EndpointAnnounced("desk", SLOTS, LEASE))
+        inbox_task = asyncio.create_task(self.inbox.run())
+        self.inbox.put(EndpointAnnounced("desk", SLOTS, LEASE_SECONDS))
         while True:
             if not self.core.list_entries():
                 host, entry_port = parse_address(entry)
                 _, writer = await asyncio.open_connection(host, entry_port)
-                writer.write(encode(self.greeting))
-                await asyncio.sleep(ANNOUNCE_SECONDS)
+                writer.write(encode(self.hello))
+                await asyncio.sleep(ANNOUNCE_INTERVAL_SECONDS)
                 writer.close()
-            await asyncio.sleep(ANNOUNCE_SECONDS)
-            assert not owner.done()
+            await asyncio.sleep(ANNOUNCE_INTERVAL_SECONDS)
+            assert not inbox_task.done()
 
 
 async def run_agents(first_port: int, count: int, entry: str) -> None:
@@ -114,7 +119,7 @@
     while True:
         for writer in writers:
             writer.write(encode(Heartbeat(time.monotonic(), 0, 0, 0.0, 0, 0)))
-        await asyncio.sleep(HEARTBEAT)
+        await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
 
 
 def main() -> None:
--- a/bench/trace.py
+++ b/bench/trace.py
@@ -4,11 +4,11 @@
 from random import Random
 from typing import NamedTuple
 
-SHORT_RANGE = (0.05, 1.0)
-LONG_RANGE = (3.0, 8.0)
-LONG_SHARE = 0.02
+SHORT_RUN_SECONDS = (0.05, 1.0)
+LONG_RUN_SECONDS = (3.0, 8.0)
+LONG_RUN_SHARE = 0.02
 MAX_TASKS = 460
-SINGLE_SHARE = 0.3
+SINGLE_WORK_SHARE = 0.3
 """Share of the work that arrives as single requests."""
 
 
@@ -24,84 +24,92 @@
     runs: tuple[float, ...]
 
 
-class Response(NamedTuple):
+class IdealResponse(NamedTuple):
     """What became of an arrival in an ideal system."""
 
     arrival: Arrival
     seconds: float
 
 
-def draw_run(chance: Random) -> float:
+def draw_run_time(rng: Random) -> float:
     """Draw one run time: 50 ms to 1 s, and 2 % of 3 to 8 s."""
-    low, high = LONG_RANGE if chance.random() < LONG_SHARE else SHORT_RANGE
-    return chance.uniform(low, high)
+    low, high = LONG_RUN_SECONDS if rng.random() < LONG_RUN_SHARE else SHORT_RUN_SECONDS
+    return rng.uniform(low, high)
 
 
-def mean_run() -> float:
+def compute_mean_run_time() -> float:
     """Tell the mean of ``draw_run``, in seconds."""
-    return (1 - LONG_SHARE) * sum(SHORT_RANGE) / 2 + LONG_SHARE * sum(LONG_RANGE) / 2
+    return (1 - LONG_RUN_SHARE) * sum(SHORT_RUN_SECONDS) / 2 + LONG_RUN_SHARE * sum(
+        LONG_RUN_SECONDS
+    ) / 2
 
 
-def draw_size(chance: Random) -> int:
+def draw_job_size(rng: Random) -> int:
     """Draw a job's size, 1 to 460, equally often in each factor of ten."""
-    return max(1, min(MAX_TASKS, round(MAX_TASKS ** chance.random())))
+    return max(1, min(MAX_TASKS, round(MAX_TASKS ** rng.random())))
 
 
-def mean_size() -> float:
+def compute_mean_job_size() -> float:
     """Tell the mean of ``draw_size``."""
-    chance = Random(0)
-    return sum(draw_size(chance) for _ in range(50_000)) / 50_000
+    rng = Random(0)
+    return sum(draw_job_size(rng) for _ in range(50_000)) / 50_000
 
 
 def make_trace(seed: int, seconds: float, slots: int, load: float) -> list[Arrival]:
     """Make a trace whose work is ``load`` times what the slots can do."""
-    chance = Random(seed)
+    rng = Random(seed)
     work = load * slots
-    single_rate = work * SINGLE_SHARE / mean_run()
-    job_rate = work * (1 - SINGLE_SHARE) / (mean_run() * mean_size())
+    single_rate = work * SINGLE_WORK_SHARE / compute_mean_run_time()
+    job_rate = (
+        work
+        * (1 - SINGLE_WORK_SHARE)
+        / (compute_mean_run_time() * compute_mean_job_size())
+    )
     trace = []
     for single, rate in ((True, single_rate), (False, job_rate)):
-        at = chance.expovariate(rate)
+        at = rng.expovariate(rate)
         while at < seconds:
-            size = 1 if single else draw_size(chance)
-            runs = tuple(draw_run(chance) for _ in range(size))
+            size = 1 if single else draw_job_size(rng)
+            runs = tuple(draw_run_time(rng) for _ in range(size))
             trace.append(Arrival(at, single, runs))
-            at += chance.expovariate(rate)
+            at += rng.expovariate(rate)
     return sorted(trace)
 
 
-def find_ideal(arrival: Arrival, slots: int) -> float:
+def compute_ideal_seconds(arrival: Arrival, slots: int) -> float:
     """Tell the response on an idle system without delay, in seconds."""
     return max(max(arrival.runs), sum(arrival.runs) / slots)
 
 
-def bound(trace: list[Arrival], slots: int, stretch: float) -> list[Response]:
+def simulate_ideal(
+    trace: list[Arrival], slots: int, stretch: float
+) -> list[IdealResponse]:
     """Run a trace through one queue with no delay and all knowledge.
 
     :param stretch: 0 serves first come, first served; else by arrival plus
         ``stretch`` times the ideal, as the dispatcher orders jobs.
     """
-    free = [0.0] * slots
+    slots_free_at = [0.0] * slots
     waiting: list[tuple[float, int, int]] = []
-    left = [len(arrival.runs) for arrival in trace]
-    done = [0.0] * len(trace)
-    following = 0
-    while following < len(trace) or waiting:
-        at = heapq.heappop(free)
+    unfinished_tasks = [len(arrival.runs) for arrival in trace]
+    ended_at = [0.0] * len(trace)
+    next_arrival = 0
+    while next_arrival < len(trace) or waiting:
+        at = heapq.heappop(slots_free_at)
         if not waiting:
-            at = max(at, trace[following].at)
-        while following < len(trace) and trace[following].at <= at:
-            arrival = trace[following]
-            rank = arrival.at + stretch * find_ideal(arrival, slots)
+            at = max(at, trace[next_arrival].at)
+        while next_arrival < len(trace) and trace[next_arrival].at <= at:
+            arrival = trace[next_arrival]
+            rank = arrival.at + stretch * compute_ideal_seconds(arrival, slots)
             for position in range(len(arrival.runs)):
-                heapq.heappush(waiting, (rank, following, position))
-            following += 1
+                heapq.heappush(waiting, (rank, next_arrival, position))
+            next_arrival += 1
         _, number, position = heapq.heappop(waiting)
         end = at + trace[number].runs[position]
-        heapq.heappush(free, end)
-        left[number] -= 1
-        done[number] = max(done[number], end)
+        heapq.heappush(slots_free_at, end)
+        unfinished_tasks[number] -= 1
+        ended_at[number] = max(ended_at[number], end)
     return [
-        Response(arrival, done[number] - arrival.at)
+        IdealResponse(arrival, ended_at[number] - arrival.at)
         for number, arrival in enumerate(trace)
     ]
--- a/bench/worth.py
+++ b/bench/worth.py
@@ -17,13 +17,13 @@
 SPAN = flags.DEFINE_float("span", 2.0, "seconds that one line of the table covers")
 PLOT = flags.DEFINE_string("plot", "", "file for a plot, besides the tables")
 
-LATE_FACTOR = 3.0
+LATE_LIMIT_FACTOR = 3.0
 """Multiple of its objective after which a result is of no use to its caller."""
 
-COLUMNS = ("asked", "in time", "late", "useless", "refused", "given up", "open")
+JOB_COLUMNS = ("asked", "in time", "late", "useless", "refused", "given up", "open")
 
 
-class Line(NamedTuple):
+class LogLine(NamedTuple):
     """One logged decision, and when it was written, in seconds."""
 
     at: float
@@ -39,106 +39,106 @@
 
     at: float
     queue: str
-    fate: str
-    why: str
+    outcome: str
+    reason: str
 
 
-def read_lines(rows: Iterable[str]) -> Iterator[Line]:
+def read_log_lines(rows: Iterable[str]) -> Iterator[LogLine]:
     """Decode the lines that hold a decision; others are passed over."""
     for row in rows:
-        before, brace, rest = row.partition("{")
+        prefix, brace, rest = row.partition("{")
         if not brace:
             continue
         try:
             fields = json.loads(brace + rest)
         except json.JSONDecodeError:
             continue
-        words = before.split()
+        words = prefix.split()
         if "event" in fields:
-            yield Line(float(words[0]) if words else fields["at"], fields)
+            yield LogLine(float(words[0]) if words else fields["at"], fields)
 
 
-def follow_jobs(lines: list[Line]) -> list[Job]:
+def collect_jobs(lines: list[LogLine]) -> list[Job]:
     """Tell what became of each job."""
     jobs = []
-    taken: dict[tuple[str, str], Line] = {}
+    accepted: dict[tuple[str, str], LogLine] = {}
     for line in lines:
         event = line.fields["event"]
         key = (line.fields["process"], line.fields.get("request", ""))
         if event == "job_accepted":
-            taken[key] = line
-        elif event == "job_refused" and key not in taken:
-            queue, why = line.fields["queue"], line.fields["reason"]
-            jobs.append(Job(line.at, queue, "refused", why))
-        elif event == "job_ended" and key in taken:
-            jobs.append(_end(taken.pop(key), line))
-    for line in taken.values():
+            accepted[key] = line
+        elif event == "job_refused" and key not in accepted:
+            queue, reason = line.fields["queue"], line.fields["reason"]
+            jobs.append(Job(line.at, queue, "refused", reason))
+        elif event == "job_ended" and key in accepted:
+            jobs.append(_make_ended_job(accepted.pop(key), line))
+    for line in accepted.values():
         jobs.append(Job(line.at, line.fields["queue"], "open", "never ended here"))
     return sorted(jobs)
 
 
-def _end(accepted: Line, ended: Line) -> Job:
+def _make_ended_job(accepted: LogLine, ended: LogLine) -> Job:
     at, queue = accepted.at, accepted.fields["queue"]
-    took, objective = ended.fields["s"], ended.fields["objective"]
+    response_seconds, objective = ended.fields["s"], ended.fields["objective"]
     if ended.fields["end"] != "completed":
         return Job(at, queue, "given up", ended.fields["reason"])
-    if took <= objective:
+    if response_seconds <= objective:
         return Job(at, queue, "in time", "")
-    late = took <= LATE_FACTOR * objective
+    late = response_seconds <= LATE_LIMIT_FACTOR * objective
     return Job(at, queue, "late" if late else "useless", "")
 
 
-def follow_runs(lines: list[Line], span: float) -> dict[int, Counter[str]]:
+def count_runs(lines: list[LogLine], span_seconds: float) -> dict[int, Counter[str]]:
     """Count what became of runs in each span, and the mean number at work."""
-    begun: dict[tuple[str, str, int], float] = {}
+    started_at: dict[tuple[str, str, int], float] = {}
     counts: dict[int, Counter[str]] = defaultdict(Counter)
     for line in lines:
         event = line.fields["event"]
         request, run = line.fields.get("request", ""), line.fields.get("run", 0)
         key = (line.fields["process"], request, run)
-        bucket = counts[int(line.at // span)]
+        bucket = counts[int(line.at // span_seconds)]
         if event == "start_ordered":
-            begun[key] = line.at
+            started_at[key] = line.at
             bucket["ordered"] += 1
         elif event == "run_ended":
             bucket[line.fields["end"]] += 1
-            if key in begun:
-                _spread(counts, begun.pop(key), line.at, span)
+            if key in started_at:
+                _add_running_time(counts, started_at.pop(key), line.at, span_seconds)
         elif event in ("run_moved", "agent_ejected", "start_unanswered"):
             bucket[event] += 1
     return counts
 
 
-def _spread(
-    counts: dict[int, Counter[str]], begin: float, end: float, span: float
+def _add_running_time(
+    counts: dict[int, Counter[str]], begin: float, end: float, span_seconds: float
 ) -> None:
     at = begin
     while at < end:
-        until = min(end, (int(at // span) + 1) * span)
-        counts[int(at // span)]["milliseconds"] += round(1000 * (until - at))
+        until = min(end, (int(at // span_seconds) + 1) * span_seconds)
+        counts[int(at // span_seconds)]["milliseconds"] += round(1000 * (until - at))
         at = until + 1e-9
 
 
-def print_jobs(jobs: list[Job], span: float) -> None:
+def print_jobs(jobs: list[Job], span_seconds: float) -> None:
     """Print one table a queue: fates by span, and the reasons."""
     for queue in sorted({job.queue for job in jobs}):
-        mine = [job for job in jobs if job.queue == queue]
-        print(f"\n{queue}: {len(mine)} jobs")
-        print("      at" + "".join(f"{name:>10}" for name in COLUMNS))
+        queue_jobs = [job for job in jobs if job.queue == queue]
+        print(f"\n{queue}: {len(queue_jobs)} jobs")
+        print("      at" + "".join(f"{name:>10}" for name in JOB_COLUMNS))
         spans: dict[int, Counter[str]] = defaultdict(Counter)
-        for job in mine:
-            spans[int(job.at // span)][job.fate] += 1
-            spans[int(job.at // span)]["asked"] += 1
+        for job in queue_jobs:
+            spans[int(job.at // span_seconds)][job.outcome] += 1
+            spans[int(job.at // span_seconds)]["asked"] += 1
         for number, counts in sorted(spans.items()):
-            row = "".join(f"{counts[name]:>10}" for name in COLUMNS)
-            print(f"{number * span:8.1f}{row}")
-        reasons = Counter((job.fate, job.why) for job in mine)
-        total = len(mine)
-        for (fate, why), count in reasons.most_common():
-            print(f"  {fate:10}{why:24}{count:6}{100 * count / total:7.1f} %")
+            row = "".join(f"{counts[name]:>10}" for name in JOB_COLUMNS)
+            print(f"{number * span_seconds:8.1f}{row}")
+        reasons = Counter((job.outcome, job.reason) for job in queue_jobs)
+        total = len(queue_jobs)
+        for (outcome, reason), count in reasons.most_common():
+            print(f"  {outcome:10}{reason:24}{count:6}{100 * count / total:7.1f} %")
 
 
-def print_runs(counts: dict[int, Counter[str]], span: float) -> None:
+def print_runs(counts: dict[int, Counter[str]], span_seconds: float) -> None:
     """Print what became of runs, by span."""
     names = sorted({name for each in counts.values() for name in each})
     names.remove("milliseconds") if "milliseconds" in names else None
@@ -146,28 +146,30 @@
     print("      at   at work" + "".join(f"{name[:12]:>13}" for name in names))
     for number, each in sorted(counts.items()):
         row = "".join(f"{each[name]:>13}" for name in names)
-        work = each["milliseconds"] / 1000 / span
-        print(f"{number * span:8.1f}{work:10.1f}{row}")
+        mean_running = each["milliseconds"] / 1000 / span_seconds
+        print(f"{number * span_seconds:8.1f}{mean_running:10.1f}{row}")
 
 
-def plot_jobs(jobs: list[Job], span: float, path: str) -> None:
+def plot_jobs(jobs: list[Job], span_seconds: float, path: str) -> None:
     """Draw the fates of all jobs over time."""
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    first = int(min(job.at for job in jobs) // span)
-    last = int(max(job.at for job in jobs) // span)
-    axis = [number * span for number in range(first, last + 1)]
+    first = int(min(job.at for job in jobs) // span_seconds)
+    last = int(max(job.at for job in jobs) // span_seconds)
+    times = [number * span_seconds for number in range(first, last + 1)]
     series = []
-    for fate in COLUMNS[1:]:
-        counts = Counter(int(job.at // span) for job in jobs if job.fate == fate)
+    for outcome in JOB_COLUMNS[1:]:
+        counts = Counter(
+            int(job.at // span_seconds) for job in jobs if job.outcome == outcome
+        )
         series.append([counts[number] for number in range(first, last + 1)])
     figure, axes = pyplot.subplots(figsize=(9, 4))
-    axes.stackplot(axis, series, labels=COLUMNS[1:])
+    axes.stackplot(times, series, labels=JOB_COLUMNS[1:])
     axes.set_xlabel("seconds")
-    axes.set_ylabel(f"jobs asked in {span:g} s")
+    axes.set_ylabel(f"jobs asked in {span_seconds:g} s")
     axes.legend(loc="upper left", fontsize=8)
     figure.tight_layout()
     figure.savefig(path, dpi=90)
@@ -179,10 +181,10 @@
         print(__doc__, file=sys.stderr)
         return 2
     with open(argv[1], encoding="utf-8", errors="replace") as file:
-        lines = sorted(read_lines(file), key=lambda line: line.at)
-    jobs = follow_jobs(lines)
+        lines = sorted(read_log_lines(file), key=lambda line: line.at)
+    jobs = collect_jobs(lines)
     print_jobs(jobs, SPAN.value)
-    print_runs(follow_runs(lines, SPAN.value), SPAN.value)
+    print_runs(count_runs(lines, SPAN.value), SPAN.value)
     if PLOT.value and jobs:
         plot_jobs(jobs, SPAN.value, PLOT.value)
     return 0
--- a/tests/bench/test_shared_room.py
+++ b/tests/bench/test_shared_agents.py
@@ -3,8 +3,8 @@
 from pathlib import Path
 
 from bench.lab import scenario as scenarios
-from bench.lab.play import Player
 from bench.lab.scenario import Scenario
+from bench.lab.simulation import Simulation
 
 from godwitbank._internal.core.runs.policy import DEFAULT_POLICY
 
@@ -13,6 +13,6 @@
 
 def test_entries_that_share_agents_seldom_order_into_room_that_is_taken() -> None:
     shifted = Scenario.from_file(FOLDER / "shifted.toml")._replace(seconds=2.0)
-    outcome = Player(shifted, DEFAULT_POLICY, 1).play()
+    outcome = Simulation(shifted, DEFAULT_POLICY, 1).run()
     assert outcome.returned <= 0.2
     assert outcome.worth >= 0.95
