--- a/bench/lab/__init__.py
+++ b/bench/lab/__init__.py
@@ -1,1 +1,1 @@
-"""A decision lab: the real cores under load, all in one clock."""
+"""Simulates the real cores under load, all on one simulated clock."""
--- a/bench/lab/__main__.py
+++ b/bench/lab/__main__.py
@@ -1,9 +1,10 @@
-"""Compare policies in the lab.
+"""Compares policies by simulation.
 
     python -m bench.lab SCENARIO... [--seeds 8] [--policies default,no_moves] [--jobs 8]
 
-``SCENARIO`` is a file, or the name of one in ``bench/lab/scenarios``. Each seed is the
-same demand and the same faults for every policy, so differences are told by pairs.
+``SCENARIO`` is a file, or the name of one in ``bench/lab/scenarios``. A seed gives
+every policy the same demand and the same faults, so differences between policies are
+computed pairwise by seed.
 """
 
 import math
@@ -18,17 +19,21 @@
 from bench.lab.scenario import Scenario
 from bench.lab.simulation import Outcome, Simulation
 
-SEED_COUNT = flags.DEFINE_integer("seeds", 8, "seeds played, from --first")
+SEED_COUNT = flags.DEFINE_integer(
+    "seeds", 8, "number of seeds to simulate, from --first"
+)
 FIRST_SEED = flags.DEFINE_integer("first", 1, "first seed")
-POLICIES = flags.DEFINE_list("policies", ["default"], "policies; the first is the base")
-PROCESS_COUNT = flags.DEFINE_integer("jobs", 8, "processes")
+POLICIES = flags.DEFINE_list(
+    "policies", ["default"], "policies; the first is the baseline"
+)
+PROCESS_COUNT = flags.DEFINE_integer("jobs", 8, "number of worker processes")
 
 SCENARIO_FOLDER = Path(__file__).parent / "scenarios"
 NORMAL_QUANTILE = 1.96
 
 
 def load_scenario(name: str) -> Scenario:
-    """Read a scenario by its file or its name."""
+    """Load a scenario from a file, or by its name in the scenario folder."""
     path = Path(name)
     return Scenario.from_file(
         path if path.exists() else SCENARIO_FOLDER / f"{name}.toml"
@@ -36,12 +41,12 @@
 
 
 def simulate_seed(scenario: str, policy: str, seed: int) -> Outcome:
-    """Play one seed in this process."""
+    """Simulate one seed of a scenario in this process."""
     return Simulation(load_scenario(scenario), parse_policy(policy), seed).run()
 
 
 def format_difference(base: list[float], other: list[float]) -> str:
-    """Tell the mean of paired differences with its 95 % interval."""
+    """Format the mean of the paired differences with its 95 % confidence interval."""
     differences = [
         other_worth - base_worth
         for base_worth, other_worth in zip(base, other, strict=True)
@@ -53,7 +58,7 @@
 
 
 def print_scenario(scenario: str, outcomes: dict[str, list[Outcome]]) -> None:
-    """Print one line a policy."""
+    """Print one row per policy: the means over all seeds."""
     print(f"\n{scenario}")
     columns = [*Outcome._fields[:2], "share", *Outcome._fields[2:]]
     print(
@@ -73,7 +78,7 @@
 
 
 def main(argv: list[str]) -> int:
-    """Play all seeds of all scenarios with all policies."""
+    """Simulate all seeds of all scenarios with all policies."""
     if len(argv) < 2:
         print(__doc__, file=sys.stderr)
         return 2
--- a/bench/lab/bound.py
+++ b/bench/lab/bound.py
@@ -1,22 +1,30 @@
-"""What a scheduler that knows everything could have earned, from above.
-
-Each job's work may be cut into pieces of any size, done by any number of endpoints at
-once and at no cost of telling anybody, at any moment between its arrival and its
-objective, in the room that was really there. Pieces are taken in the order of worth a
-core-second, each at the latest free moment: with pieces all alike the sets that can be
-done in time form a matroid, so this greedy choice is the best one. What isn't done in
-time may still earn what a late result earns. Real tasks can't be cut, so no scheduler
-can do better; how much worse the best real one is isn't known.
+"""Upper bound on the worth that a scheduler with complete knowledge could earn.
+
+Each job's work can be divided into pieces of any size and done by any number of
+endpoints at once, without communication cost, at any time between the job's arrival
+and its objective, within the capacity that was available. Pieces are scheduled by
+descending worth per core-second, each in the latest free slot. If all pieces have the
+same size, the sets that can be done in time form a matroid, so this greedy choice is
+optimal. Work not done in time may still earn the worth of a late result.
+
+Real tasks can't be divided, so no scheduler can exceed the bound; how close the best
+real scheduler comes to it isn't known.
 """
 
 from typing import NamedTuple
 
 SLOT_SECONDS = 0.02
-"""Seconds of one slot; short against the shortest task."""
+"""Length of a time slot; much shorter than the shortest task."""
 
 
 class DivisibleJob(NamedTuple):
-    """A job's work for the bound, in core-seconds."""
+    """A job whose work can be divided into pieces of any size.
+
+    :param arrival: time of submission, in seconds.
+    :param due: time until which a result earns the whole worth, in seconds.
+    :param work: core-seconds of all its tasks.
+    :param worth: what a result in time is worth to the caller.
+    """
 
     arrival: float
     due: float
@@ -30,18 +38,19 @@
     start: float,
     late_share: float,
 ) -> float:
-    """Bound the share of the worth that any scheduler could earn.
+    """Compute an upper bound on the share of the worth that a scheduler can earn.
 
-    :param room: cores that were there, for each slot from ``begin``.
-    :param late_share: what a late result earns of a timely one.
+    :param available_cores: number of available cores in each slot from ``start``.
+    :param start: time at which the first slot begins, in seconds.
+    :param late_share: worth of a late result as a share of that of a timely one.
 
-    >>> bound_worth([Piece(0.0, 1.0, 1.0, 1.0)], [1.0] * 50, 0.0, 0.2)
+    >>> compute_worth_bound([DivisibleJob(0.0, 1.0, 1.0, 1.0)], [1.0] * 50, 0.0, 0.2)
     1.0
-    >>> bound_worth([Piece(0.0, 1.0, 2.0, 1.0)], [1.0] * 50, 0.0, 0.0)
+    >>> compute_worth_bound([DivisibleJob(0.0, 1.0, 2.0, 1.0)], [1.0] * 50, 0.0, 0.0)
     0.5
     """
     free_core_seconds = [cores * SLOT_SECONDS for cores in available_cores]
-    # For each slot the next earlier one with room, to skip what is full.
+    # The nearest earlier slot that may have capacity, to skip full slots.
     previous_slots = list(range(-1, len(free_core_seconds) - 1))
     timely_worth = 0.0
     total_worth = sum(job.worth for job in jobs)
@@ -61,8 +70,10 @@
     previous_slots: list[int],
     start: float,
 ) -> float:
+    """Schedule as much of a job as fits; returns the scheduled core-seconds."""
     first_slot = int((job.arrival - start) / SLOT_SECONDS)
-    # Whole slots: a little more than there is, as befits a bound from above.
+    # Counts partly usable slots as whole ones. This slightly overestimates the
+    # capacity, so the result remains an upper bound.
     slot = min(
         int((job.due - start) / SLOT_SECONDS + 0.999) - 1, len(free_core_seconds) - 1
     )
@@ -80,6 +91,7 @@
 def _find_free_slot(
     slot: int, free_core_seconds: list[float], previous_slots: list[int]
 ) -> int:
+    """Find the latest slot with capacity, from ``slot`` back; negative if none."""
     visited = []
     while slot >= 0 and free_core_seconds[slot] <= 1e-12:
         visited.append(slot)
--- a/bench/lab/policies.py
+++ b/bench/lab/policies.py
@@ -1,4 +1,4 @@
-"""Policies that the lab compares, by name."""
+"""Parses the names of the policies to compare."""
 
 from typing import Any
 
@@ -6,9 +6,9 @@
 
 
 def parse_policy(name: str) -> Policy:
-    """Find a policy: ``default``, or changes to it as ``field=value+field=value``.
+    """Parse ``default``, or changes to it as in ``field=value+field=value``.
 
-    ``no_moves`` stands for ``moves=False``.
+    ``no_moves`` is short for ``moves=False``.
     """
     changes: dict[str, Any] = {}
     for change in name.split("+"):
--- a/bench/lab/scenario.py
+++ b/bench/lab/scenario.py
@@ -1,4 +1,4 @@
-"""What the lab plays, read from TOML."""
+"""Scenarios to simulate, read from TOML files."""
 
 import tomllib
 from pathlib import Path
@@ -6,12 +6,12 @@
 
 
 class Demand(NamedTuple):
-    """Jobs of one queue.
+    """Distribution of the jobs of one queue.
 
-    :param share: jobs of this queue among all.
+    :param share: share of all jobs that belong to this queue, relative to the others.
     :param width: mean number of tasks of a job.
     :param seconds: mean run time of a task.
-    :param worth: what a mean job is worth to its caller.
+    :param worth: worth of a job of mean size to its caller.
     """
 
     name: str
@@ -23,10 +23,12 @@
 
 
 class DemandSurge(NamedTuple):
-    """More jobs for a while.
+    """A temporary increase of the job rate.
 
-    :param factor: multiple of the ordinary rate.
-    :param queue: the only queue concerned, or an empty string.
+    :param at: start, in seconds from the start of the demand.
+    :param seconds: duration.
+    :param factor: multiple of the normal rate.
+    :param queue: the only queue affected; empty for all queues.
     """
 
     at: float
@@ -36,12 +38,15 @@
 
 
 class Fault(NamedTuple):
-    """Something that goes wrong for a while.
+    """A temporary fault.
 
     :param kind: ``slow``, ``grey``, ``hang``, ``unhealthy``, ``gone``, ``leave``,
         ``late_orders``, ``kill_entry``, ``dark_entry``, ``kill_agent``, ``all_dark``.
-    :param targets: endpoints or entries concerned.
-    :param factor: how many times as long runs take, or share of the orders.
+    :param at: start, in seconds from the start of the demand.
+    :param seconds: duration.
+    :param targets: number of endpoints, agents or entries affected.
+    :param factor: factor on run times if ``slow``; share of the start orders that are
+        delayed if ``late_orders``.
     """
 
     kind: str
@@ -52,14 +57,21 @@
 
 
 class Scenario(NamedTuple):
-    """One deployment, its demand and its faults.
+    """A deployment with its demand and its faults.
 
     :param load: demand as a share of the endpoints' capacity.
-    :param cpu: mean thousandths of a core of a task.
-    :param cpu_spread: half width of a job's own figure round that mean, as a share.
-    :param guess_error: spread of the callers' guesses, as a logarithm.
-    :param impatient: share of the callers that leave early, and after what share of
-        their objective.
+    :param seconds: how long jobs are submitted.
+    :param sizes: CPU capacities in thousandths of a core, assigned to the endpoints
+        in turn.
+    :param speeds: factors on run times, assigned to the endpoints in turn.
+    :param cpu: mean CPU use of a task, in thousandths of a core.
+    :param cpu_spread: largest deviation of a job's CPU use from that mean, as a share.
+    :param stretch: multiple of a job's longest run time in its objective.
+    :param allowance: seconds added to the objective.
+    :param guess_error: standard deviation of the logarithm of the callers' run time
+        estimates.
+    :param impatient: share of the callers that disconnect early.
+    :param leave_after: share of the objective after which these callers disconnect.
     """
 
     name: str
@@ -82,7 +94,7 @@
 
     @classmethod
     def from_file(cls, path: Path) -> "Scenario":
-        """Read a scenario; ``base`` names a file whose fields it takes over."""
+        """Read a scenario; it inherits the fields of the file named by ``base``."""
         values = _read_values(path)
         values["demands"] = tuple(Demand(**each) for each in values["demands"])
         values["waves"] = tuple(DemandSurge(**each) for each in values.get("waves", ()))
--- a/bench/lab/simulation.py
+++ b/bench/lab/simulation.py
@@ -1,4 +1,4 @@
-"""One seed of a scenario, played with the real cores."""
+"""Simulates one seed of a scenario with the real cores."""
 
 import itertools
 import math
@@ -23,31 +23,38 @@
 
 SERVICE = "desk"
 LATE_WORTH_SHARE = 0.2
-"""What a late result earns of a timely one."""
+"""Worth of a late result as a share of the worth of a timely one."""
 
 LATE_LIMIT_FACTOR = 3.0
-"""Multiple of the objective after which a result earns nothing."""
+"""Multiple of the objective beyond which a result earns nothing."""
 
 RESUBMIT_DELAY_SECONDS = 1.3
-"""Seconds after which a caller whose connection broke submits again."""
+"""Delay until a caller whose connection broke submits its job again."""
 
+# Standard deviation of the logarithm of a job's width and mean run time.
 JOB_SIZE_SIGMA = 0.4
+# Largest deviation of a run time from its job's mean, as a share.
 RUN_TIME_VARIATION = 0.15
+# Time for jobs to end after the last submission.
 COOLDOWN_SECONDS = 8.0
 CALLER_TIMEOUT_SECONDS = 10.0
 BOOT_SECONDS = 2.0
 
 
 class Outcome(NamedTuple):
-    """What callers got.
-
-    :param worth: share of the worth of all jobs that was earned.
-    :param bound: share that a scheduler who knows everything could have earned.
-    :param worst: the least share of any queue.
-    :param idle_refused: share of the worth that was refused while a quarter of the
-        room stood idle.
-    :param wasted: share of the core-seconds spent on what brought no result.
-    :param returned: share of the orders that found their room taken.
+    """What the callers received.
+
+    :param worth: earned share of the worth of all jobs.
+    :param bound: upper bound on the share that a scheduler with complete knowledge
+        could have earned.
+    :param worst: lowest earned share of any queue.
+    :param late: share of the jobs whose result was late but still earned something.
+    :param refused: share of the jobs that earned nothing.
+    :param idle_refused: share of the worth lost by jobs that earned nothing although
+        at least a quarter of the healthy capacity was idle when they were submitted.
+    :param wasted: share of the run time spent on runs that brought no result.
+    :param returned: share of the start orders refused because the agent's capacity was
+        already in use.
     """
 
     worth: float
@@ -61,7 +68,13 @@
 
 
 class SubmittedJob(NamedTuple):
-    """A job as its caller knows it."""
+    """A job from its caller's point of view.
+
+    :param submitted_at: simulated time of the first submission, in seconds.
+    :param objective: seconds within which a result earns the whole worth.
+    :param core_seconds: CPU time of all its tasks.
+    :param idle_share: share of the healthy capacity that was idle at submission.
+    """
 
     spec: JobSpec
     demand: Demand
@@ -73,7 +86,7 @@
 
 
 class Simulation:
-    """Plays one scenario."""
+    """A simulation of one seed of a scenario."""
 
     def __init__(self, scenario: Scenario, policy: Policy, seed: int) -> None:
         self._scenario = scenario
@@ -129,6 +142,7 @@
             endpoint.behaviour = behaviour
 
     def _compute_arrival_rate(self) -> float:
+        """Compute the jobs per second that result in the scenario's load."""
         scenario = self._scenario
         shares = sum(each.share for each in scenario.demands)
         core_seconds = sum(
@@ -142,7 +156,7 @@
         return scenario.load * cores / core_seconds
 
     def run(self) -> Outcome:
-        """Play it whole."""
+        """Run the whole scenario."""
         self._start_processes()
         for fault in self._scenario.faults:
             self.world.after(fault.at, partial(self._inject_fault, fault))
@@ -159,6 +173,13 @@
     # Demand
 
     def _submit_thinned(self, acceptance: float) -> None:
+        """Submit a random job with a probability that follows the demand.
+
+        Arrivals are drawn at the highest rate of the scenario and thinned here, which
+        yields a Poisson process of varying rate.
+
+        :param acceptance: probability of a submission at the normal rate.
+        """
         demands = self._scenario.demands
         shares = [each.share for each in demands]
         demand = self._demand_rng.choices(demands, shares)[0]
@@ -174,6 +195,7 @@
         return factor
 
     def _draw_size_factor(self) -> float:
+        """Draw a log-normal factor with a mean of 1."""
         return self._demand_rng.lognormvariate(-(JOB_SIZE_SIGMA**2) / 2, JOB_SIZE_SIGMA)
 
     def _submit(self, demand: Demand) -> None:
@@ -181,21 +203,25 @@
         width = min(
             4 * demand.width, max(1, round(demand.width * self._draw_size_factor()))
         )
-        mean = min(4 * demand.seconds, demand.seconds * self._draw_size_factor())
-        runs = [
-            mean * rng.uniform(1 - RUN_TIME_VARIATION, 1 + RUN_TIME_VARIATION)
+        mean_seconds = min(
+            4 * demand.seconds, demand.seconds * self._draw_size_factor()
+        )
+        run_times = [
+            mean_seconds * rng.uniform(1 - RUN_TIME_VARIATION, 1 + RUN_TIME_VARIATION)
             for _ in range(width)
         ]
-        estimate = mean * rng.lognormvariate(0, scenario.guess_error)
+        estimate = mean_seconds * rng.lognormvariate(0, scenario.guess_error)
         name = f"job{next(self._job_numbers)}"
         spread = scenario.cpu_spread
         cpu = round(scenario.cpu * rng.uniform(1 - spread, 1 + spread))
         step = StepSpec(width, Resources(cpu, 64, 0), estimate)
-        spec = JobSpec(name, demand.name, ",".join(map(str, runs)), (step,))
-        objective = scenario.stretch * max(runs) + scenario.allowance
-        size = sum(runs) * cpu / (demand.width * demand.seconds * scenario.cpu)
-        worth = min(4.0, 0.3 + 0.7 * size) * demand.worth
-        core_seconds = sum(runs) * cpu / 1000
+        spec = JobSpec(name, demand.name, ",".join(map(str, run_times)), (step,))
+        objective = scenario.stretch * max(run_times) + scenario.allowance
+        relative_size = (
+            sum(run_times) * cpu / (demand.width * demand.seconds * scenario.cpu)
+        )
+        worth = min(4.0, 0.3 + 0.7 * relative_size) * demand.worth
+        core_seconds = sum(run_times) * cpu / 1000
         idle_share = self._measure_idle_share()
         job = SubmittedJob(
             spec, demand, self.world.now, objective, worth, core_seconds, idle_share
@@ -203,19 +229,19 @@
         disconnects = rng.random() < scenario.impatient
         self._send_job(job)
         if disconnects:
-            # A caller that leaves early is owed nothing, but its job took room.
+            # A job whose caller disconnects early earns nothing but uses capacity.
             delay = scenario.leave_after * objective
             self.world.after(delay, lambda: self._disconnect_caller(name))
         else:
             self._jobs[name] = job
 
     def _send_job(self, job: SubmittedJob) -> None:
-        alive = [each for each in self._entries if not self._is_down(each)]
+        running = [each for each in self._entries if not self._is_down(each)]
         name = job.spec.job
-        if not alive:
+        if not running:
             self.world.after(RESUBMIT_DELAY_SECONDS, lambda: self._send_job(job))
             return
-        entry = self._entry_rng.choice(alive)
+        entry = self._entry_rng.choice(running)
         self._connections[name] = (
             entry,
             self.world.submit(entry, job.spec, CALLER_TIMEOUT_SECONDS),
@@ -232,6 +258,7 @@
             self.world.hang_up(entry, caller)
 
     def _resubmit_jobs(self, entry: str) -> None:
+        """Submit the unanswered jobs of a stopped entry to other entries."""
         for name, (submitted_to, _) in list(self._connections.items()):
             job = self._jobs.get(name)
             if (
@@ -289,6 +316,7 @@
         self._set_behaviour(name, Behaviour(speed=self._get_speed(name)))
 
     def _delay_orders(self, fault: Fault) -> None:
+        """Lose the answers to some start orders and carry these orders out late."""
         rng = self._fault_rng
 
         def draw_delay(order: object) -> float | None:
@@ -332,9 +360,10 @@
         for name in self._agents:
             self.world.after(fault.seconds, partial(self._start_agent, name))
 
-    # What is counted
+    # Measurements
 
     def _measure_capacity(self, endpoint: FakeEndpoint | None) -> float:
+        """Compute an endpoint's cores at normal speed; 0 if it can't complete runs."""
         if endpoint is None:
             return 0.0
         behaviour = endpoint.behaviour
@@ -350,16 +379,16 @@
             self.world.after(SLOT_SECONDS, self._sample_capacity)
 
     def _measure_idle_share(self) -> float:
-        """Tell the share of the sound room that stands idle."""
-        free = total = 0.0
+        """Measure the idle share of the healthy endpoints' capacity."""
+        idle = total = 0.0
         for endpoint in self.world.endpoints.values():
             cores = self._measure_capacity(endpoint)
             if endpoint is None or not cores:
                 continue
             used = len(endpoint.alive) * self._scenario.cpu
             total += cores
-            free += cores * max(0.0, 1 - used / endpoint.capacity.cpu)
-        return free / total if total else 0.0
+            idle += cores * max(0.0, 1 - used / endpoint.capacity.cpu)
+        return idle / total if total else 0.0
 
     def _summarise(self) -> Outcome:
         earned: dict[str, float] = {}
@@ -402,6 +431,7 @@
         )
 
     def _find_earned_share(self, name: str, job: SubmittedJob) -> float:
+        """Find the share of its worth that a job earned, by its first result."""
         response_times = [
             at - job.submitted_at
             for result, at in self.world.results_at.get(name, ())
@@ -417,12 +447,14 @@
         )
 
     def _measure_returned_orders(self) -> float:
+        """Measure the share of start orders refused for lack of capacity."""
         counts = self._agent_counts
         returned = sum(each.get("orders_refused", "room") for each in counts)
         ordered = sum(each.get("starts_ordered") for each in counts)
         return returned / max(returned + ordered, 1)
 
     def _measure_waste(self) -> float:
+        """Measure the share of the run time spent on runs that weren't completed."""
         wasted = total = 0.0
         for endpoint in self.world.endpoints.values():
             for ended_run in endpoint.lives if endpoint else ():
--- a/tests/bench/__init__.py
+++ b/tests/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the measurements and of the lab."""
+"""Tests of the measurements and the decision lab."""
--- a/tests/bench/test_lab.py
+++ b/tests/bench/test_lab.py
@@ -1,4 +1,4 @@
-"""The decision lab plays what its scenario says, and its bound bounds."""
+"""Tests of the decision lab: scenarios, worth bound, simulation and policies."""
 
 from pathlib import Path
 
@@ -25,7 +25,7 @@
     assert scenario.load > 0
 
 
-def test_a_bound_counts_work_that_fits_before_it_is_due() -> None:
+def test_bound_counts_work_that_fits_before_it_is_due() -> None:
     available_cores = [1.0] * round(1.0 / SLOT_SECONDS)
     one_job = [DivisibleJob(0.0, 1.0, 1.0, 1.0)]
     assert compute_worth_bound(one_job, available_cores, 0.0, 0.0) == pytest.approx(
@@ -35,13 +35,13 @@
     assert compute_worth_bound(two_jobs, available_cores, 0.0, 0.0) == pytest.approx(
         0.5, abs=0.01
     )
-    # What isn't done in time may still earn what a late result earns.
+    # Work not done in time may still earn the worth of a late result.
     assert compute_worth_bound(two_jobs, available_cores, 0.0, 0.2) == pytest.approx(
         0.6, abs=0.01
     )
 
 
-def test_a_bound_prefers_what_earns_most_in_the_room_that_was_there() -> None:
+def test_bound_schedules_the_most_valuable_job_in_the_available_capacity() -> None:
     available_cores = [1.0] * round(1.0 / SLOT_SECONDS)
     jobs = [DivisibleJob(0.0, 1.0, 1.0, 1.0), DivisibleJob(0.0, 1.0, 1.0, 3.0)]
     assert compute_worth_bound(jobs, available_cores, 0.0, 0.0) == pytest.approx(
@@ -51,7 +51,7 @@
     assert compute_worth_bound(jobs, no_cores, 0.0, 0.0) == 0.0
 
 
-def test_a_seed_is_the_same_demand_for_every_policy_and_stays_below_the_bound() -> None:
+def test_a_seed_repeats_its_demand_for_every_policy_and_stays_below_the_bound() -> None:
     calm = read_scenario("base")._replace(load=0.5, seconds=1.5)
     first = Simulation(calm, DEFAULT_POLICY, 5).run()
     again = Simulation(calm, DEFAULT_POLICY, 5).run()
@@ -61,7 +61,7 @@
     assert 0.9 < first.worth <= first.bound
 
 
-def test_faults_strike_and_end() -> None:
+def test_faults_reduce_the_earned_worth() -> None:
     faulty = read_scenario("base")._replace(
         load=0.5,
         seconds=2.0,
@@ -72,7 +72,7 @@
     assert with_faults.worth < calm.worth
 
 
-def test_policies_are_found_by_what_they_change() -> None:
+def test_policies_are_parsed_from_their_changes() -> None:
     assert parse_policy("default") == DEFAULT_POLICY
     assert parse_policy("no_moves+no_parking") == DEFAULT_POLICY._replace(
         moves=False, parking=False
--- a/tests/bench/test_worth.py
+++ b/tests/bench/test_worth.py
@@ -1,4 +1,4 @@
-"""A run's logs are summed up by what became of each job."""
+"""Tests of the summary of a run's logs by the outcomes of jobs and runs."""
 
 import json
 
@@ -10,7 +10,7 @@
     return f"{at:9.4f} entry-0 {json.dumps({**fields, **extra})}"
 
 
-def test_each_job_has_one_fate() -> None:
+def test_each_job_has_one_outcome() -> None:
     rows = [
         "some other line",
         make_line(1.0, "job_accepted", "a", queue="q", objective=1.0),
@@ -34,7 +34,7 @@
     assert sorted(outcomes) == ["given up", "in time", "late", "open", "refused"]
 
 
-def test_runs_at_work_are_spread_over_the_spans_they_last() -> None:
+def test_running_time_is_divided_among_the_spans_that_it_covers() -> None:
     rows = [
         make_line(1.5, "start_ordered", "a.0.0.0", run=1),
         make_line(2.5, "run_ended", "a.0.0.0", run=1, end="done", s=1.0),
