--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Load, experiments and slopes."""
+"""Load generation, benchmarks and simulations."""
--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -1,8 +1,8 @@
-"""Other ways for work to find a slot, kept runnable to be compared with.
+"""Baseline policies for choosing an agent, runnable for comparison.
 
-``python -m bench.baselines NAME --settings=FILE`` runs an entry whose choice of
-agent is replaced. They send to a full agent too, where the start waits, so they
-want a document with a large ``parked``.
+``python -m bench.baselines NAME --settings=FILE`` runs an entry that chooses agents by
+the named policy. The baselines also send starts to full agents, where the starts wait,
+so they need a service document with a large ``parked``.
 """
 
 import sys
@@ -20,14 +20,14 @@
 
 
 def choose_random(pool: Pool, now: float, same_zone: bool) -> AgentView | None:
-    """Choose any agent."""
+    """Choose a random agent."""
     del same_zone
     views = _list_available(pool, now)
     return pool._rng.choice(views) if views else None
 
 
 def choose_of_two(pool: Pool, now: float, same_zone: bool) -> AgentView | None:
-    """Choose the less loaded of two random agents, by what is known of them."""
+    """Choose the less loaded of two random agents, by the entry's view of them."""
     del same_zone
     views = _list_available(pool, now)
     if len(views) < 2:
@@ -37,7 +37,7 @@
 
 
 def choose_least(pool: Pool, now: float, same_zone: bool) -> AgentView | None:
-    """Choose the least loaded agent, by what is known of it."""
+    """Choose the least loaded agent, by the entry's view of all agents."""
     del same_zone
     views = _list_available(pool, now)
     if not views:
@@ -57,7 +57,10 @@
 
 
 def install_baseline(name: str) -> None:
-    """Replace the dispatcher's choice in this process."""
+    """Replace the dispatcher's choice of agents in this process.
+
+    Also disables demand announcements. Names that aren't baselines change nothing.
+    """
     if name in BASELINES:
         Pool.choose = BASELINES[name]  # type: ignore
         Dispatcher._announce_demand = (  # type: ignore
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,7 +1,8 @@
-"""Open-loop load: every arrival is sent when its time has come, answered or not.
+"""Open-loop load generator: sends each arrival at its scheduled time.
 
-Response times count from the time an arrival was due, so that a slow system
-can't hide its delays by slowing the load down.
+It doesn't wait for earlier responses. Response times are measured from the scheduled
+time of an arrival, so that a slow system can't hide its delays by slowing the load
+down.
 """
 
 import asyncio
@@ -16,17 +17,21 @@
 
 CLIENT_TIMEOUT_SECONDS = 90.0
 CLIENT_COUNT = 64
-"""Clients among which requests are shared out.
+"""Number of HTTP clients that the requests are distributed over.
 
-The library looks at every connection of a client for each request; a single client
-with the thousand connections of an overload is itself the slowest part.
+httpx scans every connection of a client for each request, so a single client with the
+thousand connections of an overload is itself the bottleneck.
 """
 
 
 class Result(NamedTuple):
-    """What became of one arrival.
+    """The outcome of one arrival.
 
-    :param seconds: response time from when it was due.
+    :param status: HTTP status code, or 0 if the request failed.
+    :param reason: problem type of an unsuccessful response, or the name of the
+        exception if the request failed; empty after a success.
+    :param seconds: response time from the scheduled time.
+    :param is_correct: whether the response succeeded and belongs to this arrival.
     """
 
     arrival: Arrival
@@ -39,7 +44,7 @@
 def make_body(
     arrival: Arrival, number: int, class_name: str, deadline_seconds: float
 ) -> bytes:
-    """Encode an arrival as a request or job."""
+    """Encode an arrival as the body of a request or job."""
     tasks: list[dict[str, Any]] = [
         {
             "id": f"t{position}",
@@ -56,6 +61,7 @@
 
 
 def _is_correct(arrival: Arrival, number: int, response: Any) -> bool:
+    """Check that a response body returns the nonces sent, in their order."""
     if arrival.single:
         return bool(response["nonce"] == f"{number}:0")
     nonces = [row["body"]["nonce"] for row in response["answers"]]
@@ -65,6 +71,11 @@
 async def _send(
     client: httpx.AsyncClient, url: str, body: bytes, due: float, cell: list[Any]
 ) -> None:
+    """Send an arrival and replace the contents of ``cell`` with its ``Result``.
+
+    :param due: scheduled time, by the monotonic clock.
+    :param cell: the arrival and its number in the trace.
+    """
     arrival, number = cell
     path = "requests" if arrival.single else "jobs"
     try:
@@ -82,7 +93,7 @@
 async def run_trace(
     trace: list[Arrival], urls: list[str], class_name: str, deadline_seconds: float
 ) -> list[Result]:
-    """Send a trace to some entries in turn and collect what became of it."""
+    """Send a trace to entries in turn and collect the results."""
     async with contextlib.AsyncExitStack() as stack:
         clients = [
             await stack.enter_async_context(
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -1,7 +1,7 @@
-"""Compares ways for work to find a slot, in turn, on the same traces.
+"""Compares policies that assign tasks to slots, one by one on the same traces.
 
-``make bench`` runs all of it and writes ``docs/measurements/policies.json`` and
-a plot.
+``make bench`` runs the whole comparison and writes ``docs/measurements/policies.json``
+and a plot.
 """
 
 import argparse
@@ -32,16 +32,20 @@
     ("cancels_sent", 1),
     ("answers_dropped", 1),
 )
-"""Counters of an entry that mean wasted messages, and how many each."""
+"""Counters of events that waste messages, and the messages wasted by each event."""
 
 CONTROL_COUNTERS = ("wants_sent", "loads_told")
 OUTPUT_FOLDER = Path("docs/measurements")
 
 
 class Policy(NamedTuple):
-    """One way to be compared.
+    """A policy to compare.
 
-    :param baseline: name in ``bench.baselines`` or ``own``.
+    :param baseline: name in ``bench.baselines``, or ``own`` for the dispatcher's own
+        choice of agents.
+    :param parked: value of the service document's ``endpoint.parked``.
+    :param message_weight: value of the service document's ``policy.message_weight``.
+    :param stretch: value of the service document's ``policy.stretch``.
     """
 
     name: str
@@ -62,7 +66,11 @@
 
 
 class Deployment(NamedTuple):
-    """Delays of one of the users' deployments, in seconds one way."""
+    """One-way network delays of one of the users' deployments.
+
+    :param vm_delay_seconds: delay between the deployment's VMs.
+    :param client_delay_seconds: delay between callers and entries.
+    """
 
     name: str
     vm_delay_seconds: float
@@ -76,7 +84,7 @@
 
 
 def write_document(folder: Path, policy: Policy) -> Path:
-    """Write the document a policy runs under."""
+    """Write the service document for a policy."""
     path = folder / "bench.toml"
     path.write_text(
         f'[service]\nname = "desk"\nteam = "bench"\n'
@@ -91,7 +99,7 @@
 def start_fleet(
     folder: Path, policy: Policy, deployment: Deployment, agents: int = AGENT_COUNT
 ) -> tuple[Fleet, list[str]]:
-    """Start a deployment; returns it and the callers' URLs."""
+    """Start a fleet; returns it and the service's URL at each entry."""
     fleet = Fleet(folder, delay=deployment.vm_delay_seconds)
     for _ in range(ENTRY_COUNT):
         fleet.start_entry(wait=False, baseline=policy.baseline)
@@ -111,7 +119,7 @@
 
 
 def read_counters(fleet: Fleet) -> Counter[str]:
-    """Add up the counters of all entries and agents."""
+    """Sum the counters of all entries and agents."""
     total: Counter[str] = Counter()
     for running in [*fleet.entries, *fleet.agents]:
         text = httpx.get(f"http://127.0.0.1:{running.http}/metrics", timeout=10).text
@@ -142,7 +150,10 @@
 def summarise_groups(
     rows: list[tuple[Arrival, float]], round_trip: float, slots: int
 ) -> dict[str, Any]:
-    """Summarise response times: all, requests and jobs, short and long."""
+    """Summarise response times of all arrivals and of each kind.
+
+    :param round_trip: network delay added to the ideal response time, in seconds.
+    """
     groups: dict[str, list[tuple[Arrival, float]]] = {
         "all": rows,
         "requests": [row for row in rows if row[0].single],
@@ -173,12 +184,15 @@
     seconds: float,
     slots: int = AGENT_COUNT * SLOTS_PER_AGENT,
 ) -> dict[str, Any]:
-    """Work out every measure of one run."""
+    """Compute all measurements of one run.
+
+    :param seconds: duration of the trace.
+    """
     round_trip = 2 * (deployment.vm_delay_seconds + deployment.client_delay_seconds)
     answered = [result for result in results if result.status == 200]
     tasks = sum(len(result.arrival.runs) for result in answered)
-    # Only what was answered while the load lasted: a backlog worked off later
-    # is no goodput under overload.
+    # Counts only responses received while load was offered: under overload, a
+    # backlog that is processed afterwards isn't goodput.
     work = sum(
         sum(result.arrival.runs)
         for result in answered
@@ -209,7 +223,7 @@
 
 
 def summarise_bound(trace: list[Arrival], round_trip: float, stretch: float) -> Any:
-    """Work out the bound's measures; its responses get the same round trip."""
+    """Summarise the response times of the ideal system, plus the round trip."""
     slots = AGENT_COUNT * SLOTS_PER_AGENT
     rows = [
         (response.arrival, response.seconds + round_trip)
@@ -226,7 +240,7 @@
     seed: int,
     deadline: float,
 ) -> dict[str, Any]:
-    """Run one policy on one trace in a fresh fleet."""
+    """Run one policy on one trace in a new fleet."""
     trace = make_trace(seed, seconds, AGENT_COUNT * SLOTS_PER_AGENT, load)
     with tempfile.TemporaryDirectory() as folder:
         fleet, urls = start_fleet(Path(folder), policy, deployment)
@@ -240,7 +254,7 @@
 
 
 def format_row(row: dict[str, Any]) -> str:
-    """Render one run as a line of the table."""
+    """Format one run as a row of the table."""
     measured, rank_bound = row["run"]["measured"], row["bound_rank"]
     fifo_bound = row["bound_first_come"]
     request_ratio = measured["requests"].get("ratio_mean", 0)
@@ -261,7 +275,7 @@
 
 
 def plot_rows(rows: list[dict[str, Any]]) -> None:
-    """Draw mean response over the bound's, by load."""
+    """Plot the mean ratio of response time to ideal response time against load."""
     import matplotlib
 
     matplotlib.use("svg")
@@ -294,7 +308,9 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--seconds", type=float, default=30)
     parser.add_argument("--loads", default="0.5,0.8,0.95,1.2")
-    parser.add_argument("--policies", default="all", help="names, parted by ';'")
+    parser.add_argument(
+        "--policies", default="all", help="policy names, separated by ';'"
+    )
     parser.add_argument("--deployment", default="anadolu")
     parser.add_argument("--runs", type=int, default=1)
     parser.add_argument("--deadline", type=float, default=DEADLINE_SECONDS)
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,8 +1,8 @@
-"""Measures what each start, connection, id and document costs.
+"""Measures the cost of each start, connection, remembered task id and document.
 
-``make slopes`` writes ``docs/measurements/slopes.json`` and prints a table. Each
-slope is a least-squares line through at least four points; the spread is the
-largest distance of a point from it.
+``make slopes`` writes ``docs/measurements/slopes.json`` and prints a table. Each slope
+is that of a least-squares line through at least four points; the spread is the largest
+distance of a point from the line.
 """
 
 import argparse
@@ -49,8 +49,11 @@
 
 
 class Slope(NamedTuple):
-    """A line through measured points.
+    """A least-squares line through measured points.
 
+    :param per: unit of x.
+    :param unit: unit of y.
+    :param offset: value of the line at x = 0.
     :param spread: largest distance of a point from the line, in units of y.
     """
 
@@ -66,7 +69,7 @@
 def fit_line(
     name: str, per: str, unit: str, points: list[tuple[float, float]]
 ) -> Slope:
-    """Fit a line and print it."""
+    """Fit a line to points and print it."""
     line = statistics.linear_regression([x for x, _ in points], [y for _, y in points])
     spread = max(abs(y - line.intercept - line.slope * x) for x, y in points)
     slope = Slope(name, per, unit, line.slope, line.intercept, spread, points)
@@ -79,10 +82,10 @@
 
 
 def read_cpu(running: Running) -> float:
-    """Read the processor time of a process, in seconds.
+    """Read the CPU time of a process, in seconds.
 
-    From the scheduler's nanoseconds: the usual counters come in ticks of 10 ms,
-    too coarse for a process that idles.
+    Uses the scheduler's counters in nanoseconds: the usual counters have a resolution
+    of 10 ms, which is too coarse for an idle process.
     """
     tasks = Path(f"/proc/{running.process.pid}/task").iterdir()
     times = [int((task / "schedstat").read_text().split()[0]) for task in tasks]
@@ -95,7 +98,7 @@
     return int(pages) * 4096
 
 
-# Real processes
+# Measurements of real processes
 
 
 def _start_entry(folder: str, **settings: Any) -> Fleet:
@@ -115,7 +118,8 @@
     for number in range(processes):
         share = count // processes + (number < count % processes)
         first = pick_port()
-        # Consecutive ports; a clash would show as agents missing below.
+        # The consecutive ports aren't reserved. If one is in use, an agent is missing
+        # and await_agents fails.
         fleet._run(
             f"stubs-{number}",
             "-m",
@@ -129,6 +133,12 @@
 
 
 async def _send_jobs(url: str, rate: float, size: int, seconds: float) -> int:
+    """Send jobs at a fixed rate; returns the tasks of successful jobs.
+
+    :param rate: tasks per second.
+    :param size: tasks of each job.
+    :param seconds: duration of the load.
+    """
     tasks = [
         {"id": f"t{n}", "class": "size-change", "payload": {"run_ms": 30}}
         for n in range(size)
@@ -148,7 +158,7 @@
 
 
 def measure_entry_starts(size: int) -> Slope:
-    """Measure an entry's processor time per start, in jobs of a size."""
+    """Measure an entry's CPU time per start, with jobs of ``size`` tasks."""
     points = []
     with tempfile.TemporaryDirectory() as folder:
         fleet = _start_entry(folder)
@@ -167,7 +177,7 @@
 
 
 def measure_entry_limit() -> float:
-    """Offer one entry more than it can take; returns its starts a second."""
+    """Offer one entry more load than it can serve; returns its starts per second."""
     with tempfile.TemporaryDirectory() as folder:
         fleet = _start_entry(folder)
         try:
@@ -183,7 +193,7 @@
 
 
 def measure_entry_agents() -> list[Slope]:
-    """Measure an idle entry's processor time and memory per agent."""
+    """Measure an idle entry's CPU time and memory per agent."""
     cpu, memory = [], []
     for count in (10, 50, 100, 200, 300):
         with tempfile.TemporaryDirectory() as folder:
@@ -206,7 +216,7 @@
 
 
 def measure_agent_entries() -> list[Slope]:
-    """Measure an idle agent's processor time and memory per entry."""
+    """Measure an idle agent's CPU time and memory per entry."""
     cpu, memory = [], []
     for count in (1, 4, 8, 16, 32):
         with tempfile.TemporaryDirectory() as folder:
@@ -231,7 +241,7 @@
 
 
 def measure_agent_starts() -> Slope:
-    """Measure a real agent's processor time per start."""
+    """Measure a real agent's CPU time per start."""
     points = []
     with tempfile.TemporaryDirectory() as folder:
         fleet = _start_entry(folder)
@@ -251,7 +261,7 @@
 
 
 def measure_propagation() -> list[tuple[float, float]]:
-    """Measure how long an apply takes to be in force everywhere."""
+    """Measure how long an applied document takes to reach all processes."""
     points = []
     with tempfile.TemporaryDirectory() as folder:
         fleet = _start_entry(folder)
@@ -272,11 +282,12 @@
 
 
 def _time_apply(fleet: Fleet, folder: str) -> float:
+    """Apply the document and measure the seconds until all processes report it."""
     applied = fleet.operate("apply", str(Path(folder) / "bench.toml"))
     started = time.monotonic()
     revision = int(applied.stdout.split()[-1])
 
-    def spread() -> bool:
+    def is_installed_everywhere() -> bool:
         statuses = [
             httpx.get(f"http://127.0.0.1:{each.http}/v1/{path}").json()
             for path, processes in (
@@ -287,14 +298,15 @@
         ]
         return all(each["revisions"].get("desk") == revision for each in statuses)
 
-    wait_for(spread, "the revision everywhere")
+    wait_for(is_installed_everywhere, "the revision everywhere")
     return time.monotonic() - started
 
 
-# In this process
+# Measurements in this process
 
 
 def _measure_memory(build: Callable[[int], object], sizes: tuple[int, ...]) -> Any:
+    """Measure the memory of an object built with each size, in bytes."""
     points = []
     for size in sizes:
         tracemalloc.start()
@@ -306,14 +318,14 @@
 
 
 def _fill_history(count: int) -> TaskHistory:
-    memory = TaskHistory(max_records=10**9)
+    history = TaskHistory(max_records=10**9)
     for number in range(count):
         key = TaskKey(f"{number:032x}", number % 460, 1)
-        memory.record_start(key, 1.0, "entry", "", 0.0)
+        history.record_start(key, 1.0, "entry", "", 0.0)
         ended = RunEnded(key, Ending.ANSWERED, 200, "application/json", b"{}", 0.1)
-        memory.record_end(ended, "")
-        memory.acknowledge(key)
-    return memory
+        history.record_end(ended, "")
+        history.acknowledge(key)
+    return history
 
 
 def _fill_queue(count: int) -> list[Any]:
@@ -343,7 +355,7 @@
 
 
 def measure_choice() -> Slope:
-    """Measure the time of one choice among agents of a service."""
+    """Measure the time to choose an agent, by the number of agents of the service."""
     points = []
     for count in (11, 100, 400, 1600):
         pool = Pool(Random(1), "a", 3.0)
@@ -361,7 +373,7 @@
 
 
 def measure_frames() -> dict[str, int]:
-    """Measure the bytes of the commonest frames."""
+    """Measure the size of the most common frames, in bytes."""
     key = TaskKey("0" * 32, 100, 1)
     payload = b'{"run_ms": 300, "nonce": "n100"}'
     frames: dict[str, Message] = {
@@ -380,7 +392,7 @@
 
 
 def main() -> None:
-    """Measure everything, or what is named."""
+    """Run all measurements, or those named by ``--only``."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--only", default="")
     only = parser.parse_args().only
--- a/bench/stubs.py
+++ b/bench/stubs.py
@@ -1,8 +1,8 @@
-"""Many agents, or many entries, in one process, to measure what each costs.
+"""Runs many stub agents or entries in one process, to measure the cost of each.
 
-``python -m bench.stubs agents COUNT ENTRY_STREAM`` runs agents with the real core
-and streams but with endpoints that only wait. ``python -m bench.stubs entries
-COUNT AGENT_STREAM`` opens entries' streams to one agent and keeps them alive.
+``python -m bench.stubs agents COUNT ENTRY_STREAM FIRST_PORT`` runs agents with the real
+core and streams, whose endpoints only wait. ``python -m bench.stubs entries COUNT
+AGENT_STREAM`` opens the streams of entries to one agent and keeps them alive.
 """
 
 import asyncio
@@ -41,7 +41,7 @@
 
 
 class StubAgent:
-    """An agent whose endpoint only waits."""
+    """An agent whose endpoint only waits for the run time of each task."""
 
     def __init__(self, number: int, port: int) -> None:
         address = f"127.0.0.1:{port}"
@@ -58,7 +58,7 @@
         self.streams = StreamTable(callbacks, self.hello)
 
     def perform_actions(self, actions: list[Action]) -> None:
-        """Carry out the core's actions."""
+        """Perform the core's actions; those a stub doesn't need are ignored."""
         writes: dict[int, list[Any]] = {}
         for action in actions:
             if isinstance(action, Send):
@@ -73,7 +73,7 @@
             self.streams.write(stream, messages)
 
     def finish_task(self, task: RunTask, seconds: float) -> None:
-        """End a task as an endpoint would."""
+        """Report the end of a task as an endpoint would."""
         content_type = "application/json"
         ended = RunEnded(
             task.key, Ending.ANSWERED, 200, content_type, task.payload, seconds
@@ -81,7 +81,11 @@
         self.inbox.put(ended)
 
     async def run(self, port: int, entry: str) -> None:
-        """Serve, and announce to one entry until it dials."""
+        """Accept streams, and greet one entry until an entry connects.
+
+        :param port: port to listen on.
+        :param entry: stream address of the entry.
+        """
         loop = asyncio.get_running_loop()
         await loop.create_server(self.streams.make_accepted, "127.0.0.1", port)
         inbox_task = asyncio.create_task(self.inbox.run())
@@ -98,7 +102,7 @@
 
 
 async def run_agents(first_port: int, count: int, entry: str) -> None:
-    """Run stub agents on consecutive ports."""
+    """Run stub agents that listen on consecutive ports."""
     agents = [StubAgent(number, first_port + number) for number in range(count)]
     await asyncio.gather(
         *(agent.run(first_port + n, entry) for n, agent in enumerate(agents))
@@ -106,7 +110,7 @@
 
 
 async def run_entries(count: int, agent: str) -> None:
-    """Keep some entries' streams to one agent alive."""
+    """Open the streams of stub entries to one agent and send heartbeats on them."""
     host, port = parse_address(agent)
     writers = []
     for number in range(count):
@@ -123,7 +127,7 @@
 
 
 def main() -> None:
-    """Read the command line and run."""
+    """Run the stubs given on the command line."""
     role, count, address = sys.argv[1:4]
     if role == "entries":
         asyncio.run(run_entries(int(count), address))
--- a/bench/trace.py
+++ b/bench/trace.py
@@ -1,4 +1,4 @@
-"""Seeded traces of jobs and requests, and the best response any system could give."""
+"""Seeded traces of jobs and requests, and their response times in an ideal system."""
 
 import heapq
 from random import Random
@@ -9,13 +9,14 @@
 LONG_RUN_SHARE = 0.02
 MAX_TASKS = 460
 SINGLE_WORK_SHARE = 0.3
-"""Share of the work that arrives as single requests."""
+"""Share of the work that arrives as single requests rather than jobs."""
 
 
 class Arrival(NamedTuple):
-    """A job or request that arrives.
+    """The arrival of a job or request.
 
     :param at: seconds from the start of the trace.
+    :param single: whether it is a request rather than a job.
     :param runs: run time of each task, in seconds.
     """
 
@@ -25,38 +26,38 @@
 
 
 class IdealResponse(NamedTuple):
-    """What became of an arrival in an ideal system."""
+    """The response time of an arrival in an ideal system, in seconds."""
 
     arrival: Arrival
     seconds: float
 
 
 def draw_run_time(rng: Random) -> float:
-    """Draw one run time: 50 ms to 1 s, and 2 % of 3 to 8 s."""
+    """Draw a run time: 3 to 8 s for 2 % of the tasks, else 50 ms to 1 s."""
     low, high = LONG_RUN_SECONDS if rng.random() < LONG_RUN_SHARE else SHORT_RUN_SECONDS
     return rng.uniform(low, high)
 
 
 def compute_mean_run_time() -> float:
-    """Tell the mean of ``draw_run``, in seconds."""
+    """Compute the mean of ``draw_run_time``, in seconds."""
     return (1 - LONG_RUN_SHARE) * sum(SHORT_RUN_SECONDS) / 2 + LONG_RUN_SHARE * sum(
         LONG_RUN_SECONDS
     ) / 2
 
 
 def draw_job_size(rng: Random) -> int:
-    """Draw a job's size, 1 to 460, equally often in each factor of ten."""
+    """Draw a number of tasks from 1 to 460, distributed log-uniformly."""
     return max(1, min(MAX_TASKS, round(MAX_TASKS ** rng.random())))
 
 
 def compute_mean_job_size() -> float:
-    """Tell the mean of ``draw_size``."""
+    """Estimate the mean of ``draw_job_size`` from samples."""
     rng = Random(0)
     return sum(draw_job_size(rng) for _ in range(50_000)) / 50_000
 
 
 def make_trace(seed: int, seconds: float, slots: int, load: float) -> list[Arrival]:
-    """Make a trace whose work is ``load`` times what the slots can do."""
+    """Make a trace whose work is ``load`` times the capacity of the slots."""
     rng = Random(seed)
     work = load * slots
     single_rate = work * SINGLE_WORK_SHARE / compute_mean_run_time()
@@ -77,17 +78,18 @@
 
 
 def compute_ideal_seconds(arrival: Arrival, slots: int) -> float:
-    """Tell the response on an idle system without delay, in seconds."""
+    """Compute the response time of an idle system without delays, in seconds."""
     return max(max(arrival.runs), sum(arrival.runs) / slots)
 
 
 def simulate_ideal(
     trace: list[Arrival], slots: int, stretch: float
 ) -> list[IdealResponse]:
-    """Run a trace through one queue with no delay and all knowledge.
+    """Simulate a trace with a single queue, no delays and complete knowledge.
 
-    :param stretch: 0 serves first come, first served; else by arrival plus
-        ``stretch`` times the ideal, as the dispatcher orders jobs.
+    :param stretch: 0 for first come, first served; else tasks are served in the order
+        of arrival time plus ``stretch`` times the ideal response time, as by the
+        dispatcher.
     """
     slots_free_at = [0.0] * slots
     waiting: list[tuple[float, int, int]] = []
--- a/bench/worth.py
+++ b/bench/worth.py
@@ -1,9 +1,10 @@
-"""Where worth is lost: a run's structured logs, summed up by queue and by time.
+"""Summarises structured logs by queue and time, to show where worth is lost.
 
     python -m bench.worth LOG [--span 2] [--plot FILE]
 
-``LOG`` holds the lines of all entries and agents. A line may carry a time and a name
-before its JSON object; that time then counts, as processes' own clocks differ.
+``LOG`` holds the lines of all entries and agents. A line may have a time and a process
+name before its JSON object; that time then replaces the logged one, because the clocks
+of the processes differ.
 """
 
 import json
@@ -14,27 +15,28 @@
 
 from absl import app, flags
 
-SPAN = flags.DEFINE_float("span", 2.0, "seconds that one line of the table covers")
-PLOT = flags.DEFINE_string("plot", "", "file for a plot, besides the tables")
+SPAN = flags.DEFINE_float("span", 2.0, "seconds covered by one row of the tables")
+PLOT = flags.DEFINE_string("plot", "", "file to write a plot to, besides the tables")
 
 LATE_LIMIT_FACTOR = 3.0
-"""Multiple of its objective after which a result is of no use to its caller."""
+"""Multiple of the objective beyond which a result is useless to the caller."""
 
 JOB_COLUMNS = ("asked", "in time", "late", "useless", "refused", "given up", "open")
 
 
 class LogLine(NamedTuple):
-    """One logged decision, and when it was written, in seconds."""
+    """A logged decision and the time at which it was written, in seconds."""
 
     at: float
     fields: dict[str, Any]
 
 
 class Job(NamedTuple):
-    """A job as its entry saw it.
+    """A job according to its entry's log.
 
-    :param fate: one of ``COLUMNS``.
-    :param why: reason of a refusal or of giving up.
+    :param at: time of its acceptance or refusal, in seconds.
+    :param outcome: one of ``JOB_COLUMNS``, except the first.
+    :param reason: why the job was refused, given up or is still open; else empty.
     """
 
     at: float
@@ -44,7 +46,7 @@
 
 
 def read_log_lines(rows: Iterable[str]) -> Iterator[LogLine]:
-    """Decode the lines that hold a decision; others are passed over."""
+    """Decode the lines that contain a decision and skip all others."""
     for row in rows:
         prefix, brace, rest = row.partition("{")
         if not brace:
@@ -59,7 +61,7 @@
 
 
 def collect_jobs(lines: list[LogLine]) -> list[Job]:
-    """Tell what became of each job."""
+    """Determine the outcome of each job."""
     jobs = []
     accepted: dict[tuple[str, str], LogLine] = {}
     for line in lines:
@@ -89,7 +91,7 @@
 
 
 def count_runs(lines: list[LogLine], span_seconds: float) -> dict[int, Counter[str]]:
-    """Count what became of runs in each span, and the mean number at work."""
+    """Count the events of runs in each span, and the milliseconds spent running."""
     started_at: dict[tuple[str, str, int], float] = {}
     counts: dict[int, Counter[str]] = defaultdict(Counter)
     for line in lines:
@@ -112,6 +114,7 @@
 def _add_running_time(
     counts: dict[int, Counter[str]], begin: float, end: float, span_seconds: float
 ) -> None:
+    """Divide a run's duration among the spans that it covers."""
     at = begin
     while at < end:
         until = min(end, (int(at // span_seconds) + 1) * span_seconds)
@@ -120,7 +123,7 @@
 
 
 def print_jobs(jobs: list[Job], span_seconds: float) -> None:
-    """Print one table a queue: fates by span, and the reasons."""
+    """Print a table of outcomes by span, and the reasons, for each queue."""
     for queue in sorted({job.queue for job in jobs}):
         queue_jobs = [job for job in jobs if job.queue == queue]
         print(f"\n{queue}: {len(queue_jobs)} jobs")
@@ -139,7 +142,7 @@
 
 
 def print_runs(counts: dict[int, Counter[str]], span_seconds: float) -> None:
-    """Print what became of runs, by span."""
+    """Print the events of runs, and the mean number of active runs, by span."""
     names = sorted({name for each in counts.values() for name in each})
     names.remove("milliseconds") if "milliseconds" in names else None
     print("\nruns; 'at work' is the mean number at endpoints")
@@ -151,7 +154,7 @@
 
 
 def plot_jobs(jobs: list[Job], span_seconds: float, path: str) -> None:
-    """Draw the fates of all jobs over time."""
+    """Plot the outcomes of all jobs over time."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -176,7 +179,7 @@
 
 
 def main(argv: list[str]) -> int:
-    """Sum up one log."""
+    """Summarise one log."""
     if len(argv) != 2:
         print(__doc__, file=sys.stderr)
         return 2
