--- a/bench/stubs.py
+++ b/bench/stubs.py
@@ -1,8 +1,8 @@
-"""Many agents, or many entries, in one process, to measure what each costs.
+"""Runs many stub agents or entries in one process, to measure the cost of each.
 
-``python -m bench.stubs agents COUNT ENTRY_STREAM`` runs agents with the real core
-and streams but with endpoints that only wait. ``python -m bench.stubs entries
-COUNT AGENT_STREAM`` opens entries' streams to one agent and keeps them alive.
+``python -m bench.stubs agents COUNT ENTRY_STREAM FIRST_PORT`` runs agents with the real
+core and streams, whose endpoints only wait. ``python -m bench.stubs entries COUNT
+AGENT_STREAM`` opens the streams of entries to one agent and keeps them alive.
 """
 
 import asyncio
@@ -35,27 +35,30 @@
 from godwitbank._internal.operations.inbox import Inbox
 
 SLOTS = 64
-LEASE = 1e9
-ANNOUNCE_SECONDS = 1.0
-HEARTBEAT = 1.0
+LEASE_SECONDS = 1e9
+ANNOUNCE_INTERVAL_SECONDS = 1.0
+HEARTBEAT_INTERVAL_SECONDS = 1.0
 
 
 class StubAgent:
-    """An agent whose endpoint only waits."""
+    """An agent whose endpoint only waits for the run time of each task."""
 
     def __init__(self, number: int, port: int) -> None:
         address = f"127.0.0.1:{port}"
         identity = Identity(f"stub-{number}", uuid.uuid4().hex, address, "a")
         self.core = AgentCore(identity, Timing(), time.monotonic())
         self.inbox = Inbox(
-            self.core, self.perform, lambda: self.core.next_wakeup, time.monotonic
+            self.core,
+            self.perform_actions,
+            lambda: self.core.next_wakeup,
+            time.monotonic,
         )
-        self.greeting = make_hello(identity, Role.AGENT)
-        events = StreamCallbacks(self.inbox.put, self.core.counts.add)
-        self.streams = StreamTable(events, self.greeting)
+        self.hello = make_hello(identity, Role.AGENT)
+        callbacks = StreamCallbacks(self.inbox.put, self.core.counts.add)
+        self.streams = StreamTable(callbacks, self.hello)
 
-    def perform(self, actions: list[Action]) -> None:
-        """Carry out the core's actions."""
+    def perform_actions(self, actions: list[Action]) -> None:
+        """Perform the core's actions; those a stub doesn't need are ignored."""
         writes: dict[int, list[Any]] = {}
         for action in actions:
             if isinstance(action, Send):
@@ -63,37 +66,43 @@
             elif isinstance(action, RunTask):
                 seconds = json.loads(action.payload)["run_ms"] / 1000
                 loop = asyncio.get_running_loop()
-                loop.call_later(seconds, self.end, action, seconds)
+                loop.call_later(seconds, self.finish_task, action, seconds)
             elif isinstance(action, CloseStream):
                 self.streams.close(action.stream, timed_out=False)
         for stream, messages in writes.items():
             self.streams.write(stream, messages)
 
-    def end(self, task: RunTask, seconds: float) -> None:
-        """End a task as an endpoint would."""
-        kind = "application/json"
-        ended = RunEnded(task.key, Ending.ANSWERED, 200, kind, task.payload, seconds)
+    def finish_task(self, task: RunTask, seconds: float) -> None:
+        """Report the end of a task as an endpoint would."""
+        content_type = "application/json"
+        ended = RunEnded(
+            task.key, Ending.ANSWERED, 200, content_type, task.payload, seconds
+        )
         self.inbox.put(ended)
 
     async def run(self, port: int, entry: str) -> None:
-        """Serve, and announce to one entry until it dials."""
+        """Accept streams, and greet one entry until an entry connects.
+
+        :param port: port to listen on.
+        :param entry: stream address of the entry.
+        """
         loop = asyncio.get_running_loop()
         await loop.create_server(self.streams.make_accepted_stream, "127.0.0.1", port)
-        owner = asyncio.create_task(self.inbox.run())
-        self.inbox.put(EndpointAnnounced("desk", SLOTS, LEASE))
+        inbox_task = asyncio.create_task(self.inbox.run())
+        self.inbox.put(EndpointAnnounced("desk", SLOTS, LEASE_SECONDS))
         while True:
             if not self.core.list_entries():
                 host, entry_port = parse_address(entry)
                 _, writer = await asyncio.open_connection(host, entry_port)
-                writer.write(encode(self.greeting))
-                await asyncio.sleep(ANNOUNCE_SECONDS)
+                writer.write(encode(self.hello))
+                await asyncio.sleep(ANNOUNCE_INTERVAL_SECONDS)
                 writer.close()
-            await asyncio.sleep(ANNOUNCE_SECONDS)
-            assert not owner.done()
+            await asyncio.sleep(ANNOUNCE_INTERVAL_SECONDS)
+            assert not inbox_task.done()
 
 
 async def run_agents(first_port: int, count: int, entry: str) -> None:
-    """Run stub agents on consecutive ports."""
+    """Run stub agents that listen on consecutive ports."""
     agents = [StubAgent(number, first_port + number) for number in range(count)]
     await asyncio.gather(
         *(agent.run(first_port + n, entry) for n, agent in enumerate(agents))
@@ -101,7 +110,7 @@
 
 
 async def run_entries(count: int, agent: str) -> None:
-    """Keep some entries' streams to one agent alive."""
+    """Open the streams of stub entries to one agent and send heartbeats on them."""
     host, port = parse_address(agent)
     writers = []
     for number in range(count):
@@ -114,11 +123,11 @@
     while True:
         for writer in writers:
             writer.write(encode(Heartbeat(time.monotonic(), 0, 0, 0.0, 0, 0)))
-        await asyncio.sleep(HEARTBEAT)
+        await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
 
 
 def main() -> None:
-    """Read the command line and run."""
+    """Run the stubs given on the command line."""
     role, count, address = sys.argv[1:4]
     if role == "entries":
         asyncio.run(run_entries(int(count), address))
