--- a/src/godwitbank/_internal/models/__init__.py
+++ b/src/godwitbank/_internal/models/__init__.py
@@ -1,1 +1,1 @@
-"""Plain data shared by the processes."""
+"""Data types that the processes share: messages, jobs, documents, settings."""
--- a/src/godwitbank/_internal/models/document.py
+++ b/src/godwitbank/_internal/models/document.py
@@ -1,4 +1,4 @@
-"""The document a service team owns: how its service must be treated."""
+"""Service documents: the limits, quota and classes of work that a team sets."""
 
 from collections.abc import Mapping
 from typing import Any, NamedTuple
@@ -26,9 +26,9 @@
 class QuotaTable(NamedTuple):
     """Table ``[quota]``.
 
-    :param starts_per_second: task starts admitted a second over all entries;
-        0 means no limit.
-    :param burst: seconds of quota that may be used at once.
+    :param starts_per_second: task starts admitted per second by all entries
+        together; 0 means no limit.
+    :param burst: seconds' worth of quota that may be used at once.
     """
 
     starts_per_second: float = 0.0
@@ -38,10 +38,11 @@
 class EndpointTable(NamedTuple):
     """Table ``[endpoint]``: limits at each endpoint.
 
-    :param slots: tasks run at once.
-    :param connections: connections opened to the endpoint.
+    :param slots: tasks that may run at the same time.
+    :param connections: most connections to the endpoint.
     :param parked: starts that may wait at the agent for a slot.
-    :param drain_seconds: how long a leaving endpoint's running tasks may take.
+    :param drain_seconds: seconds that running tasks get to end while the endpoint
+        drains.
     """
 
     slots: int = 8
@@ -51,15 +52,15 @@
 
 
 class PolicyTable(NamedTuple):
-    """Table ``[policy]``: how work finds a slot.
-
-    :param message_weight: 0 prefers response time (a conflicting start is
-        bounced and sent elsewhere), 1 prefers few messages (it waits at the
-        agent).
-    :param stretch: how many times its own ideal response a job may be passed
-        over by smaller ones.
-    :param same_zone: prefer endpoints in the entry's availability zone among
-        equals.
+    """Table ``[policy]``: how tasks are assigned to slots.
+
+    :param message_weight: 0 prefers short response times (an agent without a
+        free slot refuses the start, which is then sent to another agent), 1
+        prefers few messages (the start waits at the agent).
+    :param stretch: how long smaller jobs may be served before a job, as a
+        multiple of its own ideal response time.
+    :param same_zone: among equally good endpoints, prefer those in the entry's
+        availability zone.
     """
 
     message_weight: float = 1.0
@@ -70,14 +71,16 @@
 class ClassTable(NamedTuple):
     """Table ``[class.NAME]``: one class of work.
 
-    :param idempotent: ``false`` makes a request id obligatory and claims it.
-    :param deadline_seconds: longest time to an answer.
+    :param idempotent: if ``false``, each request must carry a request id, which
+        is claimed for it.
+    :param deadline_seconds: longest time until the caller is answered.
     :param timeout_seconds: longest run time at an endpoint.
-    :param weight: share of slots against other classes when both wait.
-    :param retries: starts refused by agents that one task may meet.
-    :param queue_tasks: tasks of this class that may wait at one entry.
-    :param expected_seconds: first guess of a run time, replaced by what is
-        observed.
+    :param weight: share of the slots, relative to other classes with waiting
+        tasks.
+    :param retries: how many times agents may refuse to start one task.
+    :param queue_tasks: most tasks of this class that may wait at one entry.
+    :param expected_seconds: initial estimate of the run time, replaced by
+        observed run times.
     """
 
     idempotent: bool = True
@@ -90,7 +93,7 @@
 
 
 class ServiceDocument(NamedTuple):
-    """A checked document."""
+    """A validated service document."""
 
     service: ServiceTable
     quota: QuotaTable
@@ -105,12 +108,12 @@
 
     @classmethod
     def from_text(cls, text: str) -> Result["ServiceDocument", TableFault]:
-        r"""Parse and check a document.
+        r"""Parse and validate a document.
 
         >>> ServiceDocument.from_text("[service]\nname = 'a'").failure().key
         'service.team'
         """
-        return parse_toml(text).bind(lambda table: _build(table, text))
+        return parse_toml(text).bind(lambda table: _build_document(table, text))
 
 
 _TABLES: dict[str, type] = {
@@ -122,7 +125,7 @@
 
 
 class Bound(NamedTuple):
-    """Closed range that a number must lie in."""
+    """Range, both ends included, that a number must lie in."""
 
     low: float
     high: float
@@ -146,7 +149,9 @@
 }
 
 
-def _build(table: dict[str, Any], text: str) -> Result[ServiceDocument, TableFault]:
+def _build_document(
+    table: dict[str, Any], text: str
+) -> Result[ServiceDocument, TableFault]:
     for key in table:
         if key not in _TABLES and key != "class":
             allowed = ", ".join([*_TABLES, "class"])
@@ -155,17 +160,17 @@
                 TableFault(line, key, "unknown table", f"use one of: {allowed}")
             )
     parts: dict[str, Any] = {}
-    for name, shape in _TABLES.items():
-        part = convert_table(table.get(name, {}), shape, text, f"{name}.")
+    for name, table_type in _TABLES.items():
+        part = convert_table(table.get(name, {}), table_type, text, f"{name}.")
         if not isinstance(part, Success):
             return part
         parts[name] = part.unwrap()
     classes: dict[str, ClassTable] = {}
     for name, values in table.get("class", {}).items():
-        read = convert_table(values, ClassTable, text, f"class.{name}.")
-        if not isinstance(read, Success):
-            return read
-        classes[name] = read.unwrap()
+        converted = convert_table(values, ClassTable, text, f"class.{name}.")
+        if not isinstance(converted, Success):
+            return converted
+        classes[name] = converted.unwrap()
     document = ServiceDocument(**parts, classes=classes)
     fault = _find_fault(document, text)
     return Failure(fault) if fault else Success(document)
@@ -182,10 +187,10 @@
         )
     if not document.classes:
         return TableFault(0, "class", "no class of work", "add a [class.NAME] table")
-    return _find_bound_fault(document, text) or _find_clash(document, text)
+    return _find_range_fault(document, text) or _find_conflict(document, text)
 
 
-def _find_bound_fault(document: ServiceDocument, text: str) -> TableFault | None:
+def _find_range_fault(document: ServiceDocument, text: str) -> TableFault | None:
     tables = [(f"{name}.", f"{name}.", getattr(document, name)) for name in _TABLES]
     tables += [(f"class.{name}.", "", item) for name, item in document.classes.items()]
     for prefix, bound_prefix, values in tables:
@@ -202,7 +207,7 @@
     return None
 
 
-def _find_clash(document: ServiceDocument, text: str) -> TableFault | None:
+def _find_conflict(document: ServiceDocument, text: str) -> TableFault | None:
     if document.endpoint.connections < document.endpoint.slots:
         return TableFault(
             find_key_line(text, "endpoint.connections"),
--- a/src/godwitbank/_internal/models/jobs.py
+++ b/src/godwitbank/_internal/models/jobs.py
@@ -1,4 +1,4 @@
-"""Jobs of leased runs: what callers submit and how it may end."""
+"""Jobs that run under leases: submissions, queues, results and endpoint reports."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -11,11 +11,11 @@
 
     :param width: number of tasks.
     :param needs: resources of each task.
-    :param estimate: caller's guess at a task's run time, in seconds.
+    :param estimate: the caller's estimate of a task's run time, in seconds.
     :param after: positions of the steps whose tasks must all be done first.
-    :param label: label an endpoint must carry, or an empty string.
-    :param rack: label of the rack where the data lies, or an empty string.
-    :param spread: most tasks of the step on one endpoint; 0 for no bound.
+    :param label: label that the endpoint must have, or an empty string.
+    :param rack: label of the rack that holds the data, or an empty string.
+    :param spread: most tasks of the step on one endpoint; 0 for no limit.
     :param checkpoints: whether a run saves its progress.
     """
 
@@ -34,7 +34,7 @@
 
     :param job: the caller's id, the same when the job is submitted again.
     :param queue: name of the queue, as in the configuration.
-    :param payload: handed to the endpoint with each task.
+    :param payload: passed to the endpoint with each task.
     """
 
     job: str
@@ -44,15 +44,16 @@
 
 
 class QueueRules(NamedTuple):
-    """How the operators want one queue treated.
+    """The operators' configuration of one queue.
 
-    :param host: host name callers use.
-    :param prefix: path prefix callers use; the longest match wins.
+    :param host: host name that callers use.
+    :param prefix: path prefix that callers use; the longest match wins.
     :param service: service whose endpoints run the tasks.
     :param priority: 0 is the most urgent.
     :param max_attempts: failed runs of one task after which its job fails.
-    :param stretch: aimed job time as a multiple of its longest chain of runs.
-    :param allowance: seconds added to the aimed job time.
+    :param stretch: target duration of a job, as a multiple of the run time of its
+        longest chain of dependent tasks.
+    :param allowance: seconds added to the target duration.
     """
 
     name: str
@@ -68,7 +69,8 @@
 class Configuration(NamedTuple):
     """One accepted version of the operators' configuration.
 
-    :param max_body: bytes of the largest body callers may send.
+    :param max_body: size of the largest request body that callers may send, in
+        bytes.
     """
 
     version: int
@@ -77,9 +79,10 @@
 
 
 class Evacuation(NamedTuple):
-    """The availability zones whose endpoints are to get no new runs.
+    """The availability zones whose endpoints must get no new runs.
 
-    :param revision: the store's revision as of which exactly these were evacuated.
+    :param revision: the store's revision at which exactly these zones were
+        evacuated.
     """
 
     zones: frozenset[str]
@@ -87,7 +90,7 @@
 
 
 class JobEnd(StrEnum):
-    """How a job ended for its caller."""
+    """How a job ended, as its caller sees it."""
 
     COMPLETED = "completed"
     FAILED = "failed"
@@ -96,12 +99,12 @@
 
 
 class JobResult(NamedTuple):
-    """What the caller is told.
+    """The result of a job, as returned to its caller.
 
-    :param reason: why, for logs and for the caller.
+    :param reason: why it ended so, for logs and for the caller.
     :param ran: whether any task may have started.
-    :param retry_after: seconds after which submitting again may help, or
-        ``None`` where time alone doesn't.
+    :param retry_after: seconds after which a new submission may succeed, or
+        ``None`` if waiting alone doesn't help.
     """
 
     job: str
@@ -114,7 +117,8 @@
 class RunEnd(StrEnum):
     """How one run of a task ended.
 
-    ``NOT_STARTED`` and after: the endpoint never ran it and never will.
+    ``NOT_STARTED`` and the members after it mean that the endpoint never ran it and
+    never will.
     """
 
     DONE = "done"
@@ -131,15 +135,16 @@
 
 
 class EndpointReport(NamedTuple):
-    """What an endpoint says of itself.
+    """The state that an endpoint reports about itself.
 
     :param instance: id of this boot of the endpoint.
     :param labels: its kind and its rack.
-    :param draining: it wants no new work.
-    :param clock: its own steady clock, in milliseconds.
-    :param sequence: rises with each report, so that a late one is noticed.
-    :param address: ``host:port`` of its calls.
-    :param cold_left: seconds for which runs still take longer after its start.
+    :param draining: whether it accepts no new work.
+    :param clock: its own monotonic clock, in milliseconds.
+    :param sequence: increases with each report, so that an outdated one is detected.
+    :param address: ``host:port`` at which the endpoint is called.
+    :param cold_left: seconds for which it is still warming up after its start, so
+        that runs take longer.
     """
 
     instance: str
@@ -154,7 +159,7 @@
 
 
 class ListedRun(NamedTuple):
-    """A run the endpoint has, as listed by it.
+    """A run in progress, as listed by its endpoint.
 
     :param percent: progress, 0 to 100.
     """
@@ -166,9 +171,10 @@
 
 
 class ListedEnd(NamedTuple):
-    """A run that ended at the endpoint, as listed by it.
+    """A run that ended, as listed by its endpoint.
 
-    :param number: rises by one with each end within a boot of the endpoint.
+    :param number: increases by one with each ended run within one boot of the
+        endpoint.
     """
 
     number: int
--- a/src/godwitbank/_internal/models/messages.py
+++ b/src/godwitbank/_internal/models/messages.py
@@ -1,8 +1,9 @@
 """Messages between godwitbank's own processes.
 
 Every message is a flat ``NamedTuple`` of scalars and lists, so that the codec
-needs no reflection per frame. Order of the registry is the wire protocol: add
-at the end and raise ``PROTOCOL_VERSION`` when a meaning changes.
+needs no reflection per frame. The order of ``REGISTRY`` is part of the wire
+protocol: add new messages at the end, and raise ``PROTOCOL_VERSION`` when the
+meaning of a message changes.
 """
 
 from enum import StrEnum
@@ -43,7 +44,7 @@
 
 
 class Refusal(StrEnum):
-    """Why an agent did not start a task. Each means: never started, fenced."""
+    """Why an agent refused a start: the attempt never started and is fenced."""
 
     BUSY = "busy"
     LEAVING = "leaving"
@@ -58,7 +59,7 @@
 
 
 class Verdict(StrEnum):
-    """An agent's answer to a question about an earlier start."""
+    """What an agent reports about an earlier start."""
 
     FENCED = "fenced"
     RUNNING = "running"
@@ -75,14 +76,14 @@
 
 
 class Role(StrEnum):
-    """Who is at the other end of a stream."""
+    """Kind of process at the other end of a stream."""
 
     ENTRY = "entry"
     AGENT = "agent"
 
 
 class Hello(NamedTuple):
-    """First frame from whoever dialled.
+    """First frame from the side that opened the stream.
 
     :param address: ``host:port`` where the sender accepts streams.
     """
@@ -96,7 +97,7 @@
 
 
 class Welcome(NamedTuple):
-    """An agent's reply to an entry's hello.
+    """An agent's reply to an entry's ``Hello``.
 
     :param clock: the agent's monotonic clock, in seconds.
     """
@@ -109,9 +110,9 @@
 
 
 class Start(NamedTuple):
-    """Start one task, once, before ``start_by`` of the agent's clock.
+    """Start one task once, no later than ``start_by`` on the agent's clock.
 
-    :param timeout: seconds the endpoint has for its answer.
+    :param timeout: seconds in which the endpoint must answer.
     """
 
     key: TaskKey
@@ -127,8 +128,8 @@
 class Finished(NamedTuple):
     """A started task ended.
 
-    :param run_time: seconds the endpoint took.
-    :param free_slots: slots this entry may use now.
+    :param run_time: seconds that the endpoint took.
+    :param free_slots: slots that the receiving entry may use now.
     :param starts_received: starts received on this stream so far.
     """
 
@@ -152,15 +153,15 @@
 
 
 class Cancel(NamedTuple):
-    """Don't start this attempt if it hasn't started."""
+    """Cancel this attempt if it hasn't started."""
 
     key: TaskKey
 
 
 class Resolve(NamedTuple):
-    """Ask what became of a start sent on an earlier stream.
+    """Ask for the state of a start that was sent on an earlier stream.
 
-    :param start_by: the bound the start carried, in the agent's clock.
+    :param start_by: the time limit of that start, on the agent's clock.
     """
 
     key: TaskKey
@@ -169,16 +170,16 @@
 
 
 class Resolved(NamedTuple):
-    """Answer to ``Resolve``; ``Finished`` follows a ``FINISHED`` verdict."""
+    """Answer to ``Resolve``; after a ``FINISHED`` verdict, ``Finished`` follows."""
 
     key: TaskKey
     verdict: str
 
 
 class Want(NamedTuple):
-    """How much an entry has waiting for this agent's service.
+    """An entry's demand for this agent's service.
 
-    :param waiting: waiting tasks.
+    :param waiting: number of waiting tasks.
     :param rank_in: seconds from now to the rank of the most urgent of them;
         smaller is more urgent.
     """
@@ -188,10 +189,10 @@
 
 
 class Load(NamedTuple):
-    """How many slots the entry may use now.
+    """How many slots the receiving entry may use now.
 
-    :param starts_received: starts received on this stream so far, so that the entry can
-        subtract those still on their way.
+    :param starts_received: starts received on this stream so far, so that the
+        entry can subtract those still in transit.
     """
 
     free_slots: int
@@ -199,9 +200,9 @@
 
 
 class EndpointState(NamedTuple):
-    """What stands behind an agent.
+    """The state of an agent's endpoint.
 
-    :param service: empty while no endpoint has announced itself.
+    :param service: empty until an endpoint has announced itself.
     """
 
     service: str
@@ -213,10 +214,10 @@
     """Sent both ways on every stream, whether or not there is other traffic.
 
     :param clock: sender's monotonic clock, in seconds.
-    :param digest: checksum over the service revisions the sender holds.
+    :param digest: checksum of the service revisions that the sender has.
     :param acknowledged: count of ``Finished`` frames received on this stream.
-    :param failure_rate: agent only: share of recent submissions its endpoint
-        failed, 0 to 1.
+    :param failure_rate: share of recent submissions that failed at the sender's
+        endpoint, 0 to 1; only from agents.
     """
 
     clock: float
@@ -228,13 +229,13 @@
 
 
 class Revisions(NamedTuple):
-    """Every service revision the sender holds, as ``[service, revision]``."""
+    """Every service revision that the sender has, as ``[service, revision]``."""
 
     held: list[list[str | int]]
 
 
 class Document(NamedTuple):
-    """One accepted service document."""
+    """An accepted service document."""
 
     service: str
     revision: int
@@ -242,17 +243,17 @@
 
 
 class Peers(NamedTuple):
-    """Addresses the sender knows: entries', then agents'."""
+    """Addresses of the entries and agents that the sender knows."""
 
     entries: list[str]
     agents: list[str]
 
 
 class PeerLoad(NamedTuple):
-    """What an entry tells its peers about one service.
+    """An entry's load for one service, as sent to the other entries.
 
-    :param backlog_seconds: seconds of work waiting.
-    :param demand: admitted or refused starts a second.
+    :param backlog_seconds: seconds of work that is waiting.
+    :param demand: starts per second, both admitted and refused.
     """
 
     service: str
@@ -261,20 +262,20 @@
 
 
 class Drain(NamedTuple):
-    """An operator asks this agent to leave."""
+    """An operator's request that the agent drain."""
 
     operator: str
 
 
 class Recall(NamedTuple):
-    """Ask whether an agent remembers a non-idempotent request."""
+    """Ask whether an agent has a record of a non-idempotent request."""
 
     service: str
     request_id: str
 
 
 class Recalled(NamedTuple):
-    """Answer to ``Recall``; the answer is filled when ``verdict`` is finished."""
+    """Answer to ``Recall``; the other fields are set if ``verdict`` is finished."""
 
     service: str
     request_id: str
@@ -286,7 +287,7 @@
 
 
 class Goodbye(NamedTuple):
-    """The sender is about to close this stream on purpose."""
+    """The sender is about to close this stream deliberately."""
 
     reason: str
 
--- a/src/godwitbank/_internal/models/outcomes.py
+++ b/src/godwitbank/_internal/models/outcomes.py
@@ -1,18 +1,18 @@
-"""What a caller may be told, and why."""
+"""Outcomes of submissions, as reported to callers."""
 
 from enum import StrEnum
 from typing import NamedTuple
 
 
 class Ran(StrEnum):
-    """Whether work of a failed submission may have run."""
+    """Whether any task of a failed submission may have run."""
 
     NOT_RUN = "not_run"
     MAY_HAVE_RUN = "may_have_run"
 
 
 class Reason(StrEnum):
-    """Why a submission failed; each has a counter and a problem type."""
+    """Why a submission failed; each reason has a counter and a problem type."""
 
     UNKNOWN_SERVICE = "unknown_service"
     UNKNOWN_CLASS = "unknown_class"
@@ -35,11 +35,11 @@
 
 
 class TaskAnswer(NamedTuple):
-    """One endpoint's whole answer to one task.
+    """The complete response of an endpoint to one task.
 
-    :param status: HTTP status the endpoint answered with.
+    :param status: HTTP status of the response.
     :param content_type: media type of the body.
-    :param body: the body, byte for byte.
+    :param body: the body, unchanged.
     """
 
     status: int
@@ -57,10 +57,10 @@
 class Failed(NamedTuple):
     """A submission failed as a whole.
 
-    :param ran: ``NOT_RUN`` only when no task of it can ever have started.
+    :param ran: ``NOT_RUN`` only if no task of it can have started.
     :param retry_after: seconds after which it may be submitted again, or
-        ``None`` when time alone won't help.
-    :param task: index of the task that decided it, or ``None``.
+        ``None`` if waiting alone doesn't help.
+    :param task: index of the task whose failure decided the outcome, or ``None``.
     """
 
     submission: str
--- a/src/godwitbank/_internal/models/resources.py
+++ b/src/godwitbank/_internal/models/resources.py
@@ -1,4 +1,4 @@
-"""What a task needs and what an endpoint has, as one vector."""
+"""Resources that tasks need and endpoints have, as a vector."""
 
 from typing import NamedTuple
 
@@ -28,12 +28,14 @@
             self.cpu - other.cpu, self.memory - other.memory, self.gpu - other.gpu
         )
 
-    def fits(self, room: "Resources") -> bool:
-        """Tell whether this amount fits into ``room``.
+    def fits(self, available: "Resources") -> bool:
+        """Return whether this amount fits into ``available``.
 
         >>> Resources(1, 1, 0).fits(Resources(1, 2, 0))
         True
         """
         return (
-            self.cpu <= room.cpu and self.memory <= room.memory and self.gpu <= room.gpu
+            self.cpu <= available.cpu
+            and self.memory <= available.memory
+            and self.gpu <= available.gpu
         )
--- a/src/godwitbank/_internal/models/run_messages.py
+++ b/src/godwitbank/_internal/models/run_messages.py
@@ -1,21 +1,21 @@
-"""Messages about leased runs between entries and agents."""
+"""Messages between entries and agents about runs that are held under a lease."""
 
 from typing import NamedTuple
 
 
 class StartRun(NamedTuple):
-    """Start one run of a task as soon as there is room for it.
-
-    :param run: counts the task's starts, from 1.
-    :param rank_in: seconds until the run should start at the latest; the
-        smallest is served first.
-    :param expected: run time expected, in seconds.
-    :param spread: most runs of the task's step at this endpoint; 0: any.
-    :param checkpoint: where to resume, or an empty string.
-    :param may_park: whether it may wait at the agent for room. Otherwise it comes back
-        at once if there is none: its entry may know of room elsewhere.
-    :param sent_at: what the agent's clock showed at least when this was sent. It tells
-        the order's age, and proves that its entry lived then.
+    """Start one run of a task as soon as the endpoint has free capacity for it.
+
+    :param run: number of this start of the task, from 1.
+    :param rank_in: seconds until the run should start at the latest; the run with
+        the smallest value is started first.
+    :param expected: expected run time, in seconds.
+    :param spread: most runs of the task's step at this endpoint; 0 for no limit.
+    :param checkpoint: checkpoint from which to resume, or an empty string.
+    :param may_park: whether the run may wait at the agent for free capacity. If not,
+        it is refused at once, as its entry may know of free capacity elsewhere.
+    :param sent_at: lower bound of the agent's clock at the time this was sent. It
+        gives the age of the order and shows that the entry was alive then.
     """
 
     task: str
@@ -33,21 +33,21 @@
 
 
 class StopRun(NamedTuple):
-    """Stop a run, or forget it if it waits for room."""
+    """Stop a run, or discard it if it is still waiting for free capacity."""
 
     task: str
     run: int
 
 
 class RunSlow(NamedTuple):
-    """A run would end sooner if it began anew where there is room for it."""
+    """A run would end sooner if restarted at an endpoint with free capacity."""
 
     task: str
     run: int
 
 
 class RunBegun(NamedTuple):
-    """A run that had to wait for room was ordered at the endpoint."""
+    """A run that had waited for free capacity was ordered at the endpoint."""
 
     task: str
     run: int
@@ -57,8 +57,8 @@
     """A run ended or will never start.
 
     :param end: a ``RunEnd``.
-    :param elapsed: seconds from the order to the end, as the agent saw it.
-    :param waited: seconds it waited at the agent for room.
+    :param elapsed: seconds from the order to the end, measured by the agent.
+    :param waited: seconds for which it waited at the agent for free capacity.
     """
 
     task: str
@@ -70,9 +70,9 @@
 
 
 class Holding(NamedTuple):
-    """Every run of the entry that the agent still holds, on a new stream.
+    """Every run of the entry that the agent still holds, sent on a new stream.
 
-    What is missing here has ended or never started, and never will.
+    A run that is not listed has ended, or has not started and never will.
 
     :param clock: the agent's clock, in seconds.
     """
@@ -82,11 +82,12 @@
 
 
 class EndpointNews(NamedTuple):
-    """What stands behind an agent.
+    """The state of an agent's endpoint.
 
-    :param accepts_runs: whether it takes new runs.
-    :param reconciled: whether everything a former agent had started is gone.
-    :param cold: whether runs take longer there for a while after its start.
+    :param accepts_runs: whether it accepts new runs.
+    :param reconciled: whether no run is left that an earlier agent process started.
+    :param cold: whether the endpoint is still warming up after its start, so that
+        runs take longer.
     """
 
     instance: str
@@ -101,9 +102,9 @@
 
 
 class Room(NamedTuple):
-    """Free resources at an endpoint, less what waits for them at its agent.
+    """Free capacity of an endpoint, minus the needs of runs waiting at its agent.
 
-    :param parked: runs that wait at the agent.
+    :param parked: number of runs waiting at the agent.
     :param starts_received: ``StartRun`` frames received on this stream so far.
     """
 
@@ -115,15 +116,15 @@
 
 
 class Pulse(NamedTuple):
-    """Proof of life, with what the receiver needs to know often.
+    """Heartbeat, with state that the receiver needs at short intervals.
 
     :param backlog: core-seconds of work that waits at the sender and must start
-        within each of the horizons all entries share; empty from agents.
-    :param slowness: how many times as long runs take at the sender's endpoint as
-        was expected; 1 from entries.
+        within each of the time horizons that all entries share; empty from agents.
+    :param slowness: run times at the sender's endpoint divided by the expected run
+        times; 1 from entries.
     :param clock: the sender's clock, in seconds.
-    :param lag: how late the sender's event loop runs, in seconds; infinite where it
-        takes no jobs of other entries.
+    :param lag: delay of the sender's event loop, in seconds; infinite if the sender
+        accepts no jobs from other entries.
     """
 
     backlog: list[float]
@@ -133,17 +134,18 @@
 
 
 class Alive(NamedTuple):
-    """Proof of an entry's life to an agent.
+    """Heartbeat from an entry to an agent.
 
-    :param clock: what the agent's clock showed at least when this was sent. A proof
-        that was held up on its way is as old as that, however late it arrives.
+    :param clock: lower bound of the agent's clock at the time this was sent. A
+        heartbeat that was delayed in transit counts for that time, however late it
+        arrives.
     """
 
     clock: float
 
 
 class Probe(NamedTuple):
-    """Asks for a proof of life at once, as another stream has fallen silent.
+    """Request an immediate heartbeat, because another stream has timed out.
 
     :param clock: the sender's clock, in seconds.
     """
@@ -160,10 +162,10 @@
 
 
 class Evacuated(NamedTuple):
-    """The availability zones whose endpoints get no new runs, all of them.
+    """All availability zones whose endpoints get no new runs.
 
-    :param revision: the store's revision as of which this held; newer knowledge is
-        never undone by older.
+    :param revision: the store's revision at which this was read; a receiver never
+        replaces a newer state by an older one.
     """
 
     zones: list[str]
@@ -171,11 +173,12 @@
 
 
 class Took(NamedTuple):
-    """Jobs an entry has taken from their callers.
+    """Jobs that an entry has accepted from their callers.
 
-    :param ages: seconds since it took each of them; the newest taking counts.
-    :param owner: incarnation of the entry that took them, where the sender passes on
-        what it heard of one that is gone; empty for the sender's own.
+    :param ages: seconds since the entry accepted each job; the latest entry to
+        accept a job owns it.
+    :param owner: incarnation of the entry that accepted them, if the sender relays
+        what it knows of an entry that is gone; empty for the sender's own jobs.
     """
 
     jobs: list[str]
@@ -184,10 +187,10 @@
 
 
 class Yield(NamedTuple):
-    """The caller of a job came to the sender; stop the job where it was.
+    """Request that a job's former owner stop it: its caller came to the sender.
 
-    :param owner: incarnation of the entry that has it; empty if it is the receiver.
-        One that the sender can't reach is asked through the receiver.
+    :param owner: incarnation of the entry that owns the job; empty if that is the
+        receiver. If the sender can't reach the owner, the receiver relays this.
     """
 
     job: str
@@ -195,26 +198,28 @@
 
 
 class Yielded(NamedTuple):
-    """Nothing of the job runs any more by the sender's orders."""
+    """No run of the job that the sender ordered is left."""
 
     job: str
 
 
 class Locate(NamedTuple):
-    """Ask whether an entry that the sender can't reach is reached by the receiver.
+    """Ask whether the receiver can reach an entry that the sender can't reach.
 
-    If so, the sender is told what that entry takes from callers.
+    If so, the receiver tells the sender which jobs that entry accepts from callers.
     """
 
     address: str
 
 
 class Located(NamedTuple):
-    """Whether the sender reaches an entry.
+    """Answer to ``Locate``: whether the sender can reach an entry.
 
-    :param incarnation: of that entry, if it is reached, or was before it was lost.
-    :param age: seconds since the entry that was lost can have lived, as the sender
-        knows; negative if it never met it.
+    :param incarnation: incarnation of that entry, if the sender can reach it or
+        could before the entry was lost.
+    :param age: for a lost entry, seconds since the last time at which it may have
+        been alive, as far as the sender knows; negative if the sender never had
+        contact with it.
     """
 
     address: str
@@ -224,11 +229,12 @@
 
 
 class Forward(NamedTuple):
-    """Serve a job whose caller came to the sender.
+    """Run a job for the sender, to which the job's caller came.
 
     :param steps: the job's steps, each as a list of its fields.
-    :param timeout_seconds: seconds its caller waits.
-    :param acquired: whether the sender had acquired the job; its right goes along.
+    :param timeout_seconds: seconds for which its caller waits.
+    :param acquired: whether the sender had acquired the job; if so, the right to
+        start it is transferred to the receiver.
     """
 
     job: str
@@ -240,12 +246,12 @@
 
 
 class Forwarded(NamedTuple):
-    """How a job ended that the receiver had forwarded.
+    """Result of a job that the receiver had forwarded to the sender.
 
     :param end: a ``JobEnd``.
     :param ran: whether any task may have started.
-    :param retry_after: seconds after which submitting again may help; negative where
-        time alone doesn't.
+    :param retry_after: seconds after which a new submission may succeed; negative if
+        waiting alone doesn't help.
     """
 
     job: str
@@ -256,24 +262,24 @@
 
 
 class Withdraw(NamedTuple):
-    """Nobody waits for a job any more that the sender had forwarded."""
+    """No caller is waiting any more for a job that the sender had forwarded."""
 
     job: str
 
 
 class Claim(NamedTuple):
-    """The caller of a job came to the sender; stop others' runs of it here."""
+    """Stop runs of a job that other entries ordered: its caller came to the sender."""
 
     job: str
 
 
 class Claimed(NamedTuple):
-    """What runs of a job here by the orders of others was told to stop.
+    """Answer to ``Claim``: runs of the job ordered by other entries are stopping.
 
-    :param all_ended: whether nothing of it is left, nor will be; else another message
-        follows once that is so.
+    :param all_ended: whether none of these runs is left and none can start; otherwise
+        another message follows as soon as this is so.
     :param claim_lost: whether another entry claimed the job at the same moment and
-        has it.
+        owns it.
     """
 
     job: str
@@ -284,11 +290,11 @@
 class Acquire(NamedTuple):
     """Ask the job's home whether an entry may start it.
 
-    :param owner: incarnation of the entry that wants it.
-    :param request_number: counts the owner's requests.
+    :param owner: incarnation of the entry that wants the job.
+    :param request_number: increases with each request of that entry.
     :param acting: whether the receiver decides in place of the job's home, which has
-        just joined and doesn't know yet who has what.
-    :param hops: how often it may still be passed on.
+        just joined and doesn't know yet which entry owns which job.
+    :param hops: how many more times the request may be forwarded.
     """
 
     job: str
@@ -299,12 +305,12 @@
 
 
 class Acquired(NamedTuple):
-    """The home's answer.
+    """Answer of a job's home to ``Acquire``.
 
     :param requester: incarnation of the entry that wanted the job.
-    :param request_number: of the request.
-    :param owner: incarnation of the entry that has it; the asker's if it may start;
-        empty if it has to ask again.
+    :param request_number: number of the request that this answers.
+    :param owner: incarnation of the entry that owns the job: the requester's own if
+        it may start the job; empty if it must ask again.
     """
 
     job: str
@@ -314,12 +320,12 @@
 
 
 class Release(NamedTuple):
-    """Tell the home of jobs that nothing of them is left at an entry.
+    """Tell the home of some jobs that nothing of them is left at an entry.
 
-    :param request_numbers: of the requests by which it had them; 0 where it never
-        asked.
+    :param request_numbers: for each job, the number of the request by which the
+        entry acquired it; 0 if it sent none.
     :param owner: the entry's incarnation.
-    :param hops: how often it may still be passed on.
+    :param hops: how many more times the message may be forwarded.
     """
 
     jobs: list[str]
@@ -329,11 +335,12 @@
 
 
 class Join(NamedTuple):
-    """Let a caller of the sender wait for a job that the receiver has.
+    """Let a caller of the sender wait for a job that the receiver owns.
 
-    ``Forwarded`` tells the result; ``Yielded`` that the receiver doesn't have it.
+    The answer is ``Forwarded`` with the result, or ``Yielded`` if the receiver doesn't
+    own the job.
 
-    :param timeout_seconds: seconds the caller waits.
+    :param timeout_seconds: seconds for which the caller waits.
     """
 
     job: str
--- a/src/godwitbank/_internal/models/settings.py
+++ b/src/godwitbank/_internal/models/settings.py
@@ -25,12 +25,13 @@
         entries' stream addresses; empty when there is a single entry.
     :param table: base URL of the platform's table service.
     :param heartbeat: seconds between heartbeats.
-    :param silence: seconds without a frame after which a stream is closed.
-    :param start_window: seconds a start stays valid after the agent's last
-        heartbeat.
-    :param unready_delay: seconds served after SIGTERM before draining, so that
-        the balancer notices.
-    :param max_body: bytes of the largest request body.
+    :param silence: timeout of a stream: seconds without a frame after which it is
+        closed.
+    :param start_window: seconds for which a start stays valid after the agent's
+        last heartbeat.
+    :param unready_delay: seconds between SIGTERM and draining, in which requests
+        are still served while the balancer sees that the entry isn't ready.
+    :param max_body: size of the largest request body, in bytes.
     """
 
     name: str
@@ -51,13 +52,13 @@
     """Settings of ``godwitbank-agent``.
 
     :param name: name of this process in logs and status.
-    :param stream: ``host:port`` on which entries dial this agent.
-    :param http: ``host:port``, local, for the endpoint.
+    :param stream: ``host:port`` on which this agent accepts streams of entries.
+    :param http: local ``host:port`` for the endpoint.
     :param balancer: ``host:port`` of the platform's balancer in front of all
         entries' stream addresses.
     :param announce: seconds between announcements to the balancer.
-    :param advertised: ``host:port`` that entries dial, where it differs from
-        ``stream`` (address translation).
+    :param advertised: ``host:port`` to which entries connect, if it differs from
+        ``stream`` because of address translation.
     """
 
     name: str
@@ -73,7 +74,7 @@
 
 
 MIN_HEARTBEATS_PER_TIMEOUT = 2
-"""Heartbeats that must fit into the silence after which a stream is closed."""
+"""Heartbeat intervals that must fit into ``silence``, the timeout of a stream."""
 
 S = TypeVar("S", EntrySettings, AgentSettings)
 
@@ -101,7 +102,7 @@
     return None
 
 
-def _check_silence(
+def _check_heartbeat(
     settings: EntrySettings | AgentSettings, text: str
 ) -> TableFault | None:
     heartbeat = settings.heartbeat
@@ -116,10 +117,11 @@
     )
 
 
-def load_settings(path: str, shape: type[S]) -> S:
-    """Read and check a settings file.
+def load_settings(path: str, settings_type: type[S]) -> S:
+    """Read and validate a settings file.
 
-    :raises SettingsError: naming file, line, key and remedy.
+    :raises SettingsError: if the file can't be read or is invalid; the message names
+        the file, line, key and remedy.
     """
     try:
         text = Path(path).read_text(encoding="utf-8")
@@ -129,17 +131,19 @@
             context=path,
             remedy="give --settings the path of a readable TOML file",
         ) from None
-    result = parse_toml(text).bind(lambda table: convert_table(table, shape, text))
+    result = parse_toml(text).bind(
+        lambda table: convert_table(table, settings_type, text)
+    )
     fault = None if isinstance(result, Success) else result.failure()
     if fault is None:
         fault = _check_address(result.unwrap(), text)
     if fault is None:
-        fault = _check_silence(result.unwrap(), text)
+        fault = _check_heartbeat(result.unwrap(), text)
     if fault is not None:
         raise SettingsError(
-            f"settings are wrong: {fault}",
+            f"invalid settings: {fault}",
             context=path,
-            remedy="mend the file and start again",
+            remedy="fix the file and restart the process",
         )
     settings: S = result.unwrap()
     return settings
--- a/src/godwitbank/_internal/utils/__init__.py
+++ b/src/godwitbank/_internal/utils/__init__.py
@@ -1,1 +1,1 @@
-"""Small helpers without a better home."""
+"""General helpers for decoding JSON and reading TOML tables."""
--- a/src/godwitbank/_internal/utils/decoding.py
+++ b/src/godwitbank/_internal/utils/decoding.py
@@ -1,4 +1,4 @@
-"""Decoding of JSON that others wrote."""
+"""Decoding of JSON from untrusted sources."""
 
 from typing import TypeVar
 
@@ -8,9 +8,10 @@
 
 
 def decode_json(decoder: msgspec.json.Decoder[T], body: bytes | msgspec.Raw) -> T:
-    """Decode a body, however it is nested.
+    """Decode a body of any nesting depth.
 
-    :raises msgspec.DecodeError: when it isn't what the decoder expects.
+    :raises msgspec.DecodeError: if it isn't what the decoder expects or is nested
+        too deeply.
     """
     try:
         return decoder.decode(body)
--- a/src/godwitbank/_internal/utils/tables.py
+++ b/src/godwitbank/_internal/utils/tables.py
@@ -1,7 +1,7 @@
-"""Checked reading of TOML tables into named tuples.
+"""Validation and conversion of TOML tables to named tuples.
 
-Settings and service documents share this: an unknown key, a wrong type or a
-value out of range is an error that names the line, the key and the remedy.
+Used for settings and service documents. Each error (an unknown key, a wrong type
+or a value out of range) names the line, the key and the remedy.
 """
 
 import tomllib
@@ -13,9 +13,9 @@
 
 
 class TableFault(NamedTuple):
-    """One thing wrong with a table.
+    """A problem found in a table.
 
-    :param line: 1-based line in the text, or 0 where it has none.
+    :param line: line in the text, counted from 1, or 0 if there is none.
     """
 
     line: int
@@ -24,8 +24,8 @@
     remedy: str
 
     def __str__(self) -> str:
-        place = f"line {self.line}, " if self.line else ""
-        return f"{place}key '{self.key}': {self.problem}; {self.remedy}"
+        location = f"line {self.line}, " if self.line else ""
+        return f"{location}key '{self.key}': {self.problem}; {self.remedy}"
 
 
 def parse_toml(text: str) -> Result[dict[str, Any], TableFault]:
@@ -41,7 +41,9 @@
 
 
 def find_key_line(text: str, key: str) -> int:
-    r"""Find the line that sets or opens the last part of a dotted key.
+    r"""Find the line of a dotted key or of the table with that name.
+
+    Return 0 if there is no such line.
 
     >>> find_key_line("[a]\nb = 1\n", "a.b")
     2
@@ -61,39 +63,43 @@
     return 0
 
 
-def _name_type(kind: Any) -> str:
-    if isinstance(kind, UnionType):
-        return " or ".join(_name_type(part) for part in get_args(kind))
+def _describe_type(expected_type: Any) -> str:
+    if isinstance(expected_type, UnionType):
+        return " or ".join(_describe_type(part) for part in get_args(expected_type))
     names = {str: "a string", int: "a whole number", float: "a number"}
     names[bool] = "true or false"
-    return names.get(kind, getattr(kind, "__name__", str(kind)))
+    return names.get(
+        expected_type, getattr(expected_type, "__name__", str(expected_type))
+    )
 
 
-def _fits(value: Any, kind: Any) -> bool:
-    if isinstance(kind, UnionType):
-        return any(_fits(value, part) for part in get_args(kind))
-    if kind is float:
+def _has_type(value: Any, expected_type: Any) -> bool:
+    if isinstance(expected_type, UnionType):
+        return any(_has_type(value, part) for part in get_args(expected_type))
+    if expected_type is float:
         return isinstance(value, int | float) and not isinstance(value, bool)
-    if kind is int:
+    if expected_type is int:
         return isinstance(value, int) and not isinstance(value, bool)
-    if getattr(kind, "__origin__", None) in (tuple, list):
-        item = get_args(kind)[0]
-        return isinstance(value, list) and all(_fits(each, item) for each in value)
-    return isinstance(value, kind)
+    if getattr(expected_type, "__origin__", None) in (tuple, list):
+        item = get_args(expected_type)[0]
+        return isinstance(value, list) and all(_has_type(each, item) for each in value)
+    return isinstance(value, expected_type)
 
 
 def convert_table(
-    values: Mapping[str, Any], shape: type, text: str, prefix: str = ""
+    values: Mapping[str, Any], table_type: type, text: str, prefix: str = ""
 ) -> Result[Any, TableFault]:
-    """Build ``shape`` (a ``NamedTuple`` class) from a parsed table.
+    """Convert a parsed table to an instance of ``table_type``.
 
-    :param values: the table, already parsed.
-    :param shape: its fields are the allowed keys, its defaults the optional ones.
+    :param values: the parsed table.
+    :param table_type: a ``NamedTuple`` class. Its fields are the allowed keys; those
+        with a default are optional.
     :param text: the source, for line numbers.
-    :param prefix: dotted name of the table inside its document.
+    :param prefix: dotted name of the table within its document, with a dot at the
+        end.
     """
-    hints = get_type_hints(shape)
-    defaults = getattr(shape, "_field_defaults", {})
+    hints = get_type_hints(table_type)
+    defaults = getattr(table_type, "_field_defaults", {})
     for key in values:
         if key not in hints:
             allowed = ", ".join(sorted(hints))
@@ -102,24 +108,32 @@
             return Failure(
                 TableFault(line, dotted, "unknown key", f"use one of: {allowed}")
             )
-    built: dict[str, Any] = {}
-    for key, kind in hints.items():
+    fields: dict[str, Any] = {}
+    for key, expected_type in hints.items():
         dotted = prefix + key
         if key not in values:
             if key not in defaults:
                 return Failure(
-                    TableFault(0, dotted, "missing", f"set it to {_name_type(kind)}")
+                    TableFault(
+                        0,
+                        dotted,
+                        "missing",
+                        f"set it to {_describe_type(expected_type)}",
+                    )
                 )
             continue
         value = values[key]
-        if not _fits(value, kind):
+        if not _has_type(value, expected_type):
             line = find_key_line(text, dotted)
             return Failure(
                 TableFault(
-                    line, dotted, f"{value!r} is wrong", f"give {_name_type(kind)}"
+                    line,
+                    dotted,
+                    f"{value!r} is wrong",
+                    f"give {_describe_type(expected_type)}",
                 )
             )
-        if kind is float:
+        if expected_type is float:
             value = float(value)
-        built[key] = tuple(value) if isinstance(value, list) else value
-    return Success(shape(**built))
+        fields[key] = tuple(value) if isinstance(value, list) else value
+    return Success(table_type(**fields))
--- a/tests/models/test_document.py
+++ b/tests/models/test_document.py
@@ -1,4 +1,4 @@
-"""Documents are checked; every error names line, key and remedy."""
+"""Validation of service documents."""
 
 from pathlib import Path
 
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("name", ["desk", "sheets"])
-def test_documents_of_the_demonstration_are_right(name: str) -> None:
+def test_demo_documents_are_valid(name: str) -> None:
     parsed = ServiceDocument.from_text((DEMO / f"{name}.toml").read_text())
     assert isinstance(parsed, Success)
     assert parsed.unwrap().name == name
@@ -38,7 +38,7 @@
         ("drain_seconds = 30", "drain_seconds = 2", "endpoint.drain_seconds", "cut"),
     ],
 )
-def test_faults_name_line_key_and_remedy(
+def test_errors_name_line_key_and_remedy(
     old: str, new: str, key: str, words: str
 ) -> None:
     assert old in DESK
@@ -46,9 +46,9 @@
     assert fault.key == key
     assert words in str(fault)
     assert fault.remedy
-    written = key.rpartition(".")[2] in new or "[" in new
-    assert bool(fault.line) == written
+    has_line = key.rpartition(".")[2] in new or "[" in new
+    assert bool(fault.line) == has_line
 
 
-def test_text_that_is_not_toml() -> None:
+def test_invalid_toml_is_rejected() -> None:
     assert "not TOML" in str(ServiceDocument.from_text("[service").failure())
--- a/tests/models/test_settings.py
+++ b/tests/models/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings are checked at start; errors name file, key and remedy."""
+"""Validation of settings files; errors name the file, the key and the remedy."""
 
 from pathlib import Path
 
@@ -7,7 +7,7 @@
 from godwitbank._internal.exceptions import SettingsError
 from godwitbank._internal.models.settings import EntrySettings, load_settings
 
-RIGHT = """
+VALID = """
 name = "entry-1"
 zone = "a"
 http = "127.0.0.1:8080"
@@ -16,9 +16,9 @@
 """
 
 
-def test_right_settings(tmp_path: Path) -> None:
+def test_valid_settings_are_loaded(tmp_path: Path) -> None:
     path = tmp_path / "entry.toml"
-    path.write_text(RIGHT + "heartbeat = 1\n")
+    path.write_text(VALID + "heartbeat = 1\n")
     settings = load_settings(str(path), EntrySettings)
     assert settings.heartbeat == 1.0
     assert settings.silence == 3.0
@@ -27,14 +27,14 @@
 @pytest.mark.parametrize(
     ("text", "words"),
     [
-        (RIGHT + 'heartbeat = "often"\n', "heartbeat"),
-        (RIGHT + "hartbeat = 1\n", "unknown key"),
-        (RIGHT.replace('zone = "a"', ""), "'zone': missing"),
-        (RIGHT.replace("127.0.0.1:8080", "8080"), "host:port"),
-        (RIGHT + "heartbeat = 3.0\n", "silence"),
+        (VALID + 'heartbeat = "often"\n', "heartbeat"),
+        (VALID + "hartbeat = 1\n", "unknown key"),
+        (VALID.replace('zone = "a"', ""), "'zone': missing"),
+        (VALID.replace("127.0.0.1:8080", "8080"), "host:port"),
+        (VALID + "heartbeat = 3.0\n", "silence"),
     ],
 )
-def test_wrong_settings(tmp_path: Path, text: str, words: str) -> None:
+def test_invalid_settings_are_rejected(tmp_path: Path, text: str, words: str) -> None:
     path = tmp_path / "entry.toml"
     path.write_text(text)
     with pytest.raises(SettingsError) as caught:
@@ -45,6 +45,6 @@
     assert "remedy" in message
 
 
-def test_missing_file() -> None:
+def test_missing_file_is_reported() -> None:
     with pytest.raises(SettingsError, match="can't be read"):
         load_settings("/nowhere/entry.toml", EntrySettings)
