--- a/src/godwitbank/_internal/cli/__init__.py
+++ b/src/godwitbank/_internal/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The frame of the command line."""
+"""Command line framework: flags, logging, exit statuses and entry points."""
--- a/src/godwitbank/_internal/cli/entrypoints.py
+++ b/src/godwitbank/_internal/cli/entrypoints.py
@@ -14,7 +14,7 @@
 
 
 def run_operator() -> None:
-    """Run ``godwitbank``."""
+    """Run the operator's command ``godwitbank``."""
     from godwitbank._internal.commands import describe_commands, load_command
 
     program = Program(
@@ -25,8 +25,10 @@
     )
     program.define_string("entry", "127.0.0.1:8080", "host:port of any entry.")
     program.define_string("operator", "operator", "Your name, kept with changes.")
-    program.define_string("operation", None, "Id of an earlier apply to settle.")
-    program.define_string("revision", None, "Revision expected or waited for.")
+    program.define_string(
+        "operation", None, "Operation id of an earlier apply whose outcome is unknown."
+    )
+    program.define_string("revision", None, "Revision to expect or to wait for.")
     program.define_string("service", None, "Name of a service.")
     program.define_string("class", None, "Class of work of a single request.")
     program.define_string("request_id", "", "Idempotency key of a single request.")
@@ -58,7 +60,7 @@
 
 def run_agent() -> None:
     """Run ``godwitbank-agent``."""
-    summary = "stand beside one endpoint and start its tasks, each at most once"
+    summary = "run next to one endpoint and start its tasks, each at most once"
 
     async def serve(path: str) -> None:
         from godwitbank._internal.models.settings import AgentSettings, load_settings
@@ -95,8 +97,9 @@
 def _import_program(
     arguments: list[str], stream_bind: str
 ) -> Callable[[], Coroutine[Any, Any, None]]:
-    # What is imported stays. Looking for garbage in it makes the start longer, and
-    # every full collection later.
+    # Imported objects live as long as the process. Scanning them for garbage would
+    # slow down the start and each later full collection, so collection is off during
+    # the imports, and freeze() then excludes these objects.
     gc.disable()
     try:
         if arguments == ["entry"]:
@@ -109,31 +112,32 @@
         gc.freeze()
         gc.enable()
     raise UsageError(
-        "which program?", remedy="give 'entry' or 'agent', and nothing else"
+        "no valid program name", remedy="give 'entry' or 'agent', and nothing else"
     )
 
 
 def _import_agent() -> Callable[[], Coroutine[Any, Any, None]]:
-    # The endpoint reports as soon as its VM is up, and not soon again. While the agent
-    # is imported its report waits in the listener's queue; refused, it would leave the
-    # endpoint's room unused until the next.
+    # The endpoint sends its first report as soon as the VM is up, and the next one only
+    # after a report interval. The socket therefore listens before the agent is
+    # imported, so that a report waits in the listen queue meanwhile. If its connection
+    # were refused, the endpoint's capacity would stay unused until the next report.
     from godwitbank._internal.platform.listening import listen_for_reports
 
-    listening = listen_for_reports()
+    listener = listen_for_reports()
     from godwitbank._internal.platform.agent_program import serve_agent
 
-    return partial(serve_agent, listening.settings, listening.report_socket)
+    return partial(serve_agent, listener.settings, listener.report_socket)
 
 
 def run_on_platform() -> None:
-    """Run the entry or the agent as the platform starts it."""
+    """Run the entry or the agent, as named by the platform's launch command."""
     program = Program(
         "launch", "run one of the daemons on the platform", "launch.py entry|agent"
     )
     program.define_string(
         "stream_bind",
         "",
-        "host:port an entry listens on for streams, if others are told another.",
+        "host:port an entry listens on for streams, if it announces another address.",
     )
 
     def main(values: flags.FlagValues, arguments: list[str]) -> Status:
--- a/src/godwitbank/_internal/cli/logs.py
+++ b/src/godwitbank/_internal/cli/logs.py
@@ -1,4 +1,4 @@
-"""Logs: absl's, as text or as one JSON object a line."""
+"""Logging through absl, as text or as one JSON object per line."""
 
 import json
 import logging as standard_logging
@@ -8,7 +8,7 @@
 
 
 class JsonFormatter(standard_logging.Formatter):
-    """Formats a record as one JSON object."""
+    """Formats each record as one JSON object."""
 
     def format(self, record: standard_logging.LogRecord) -> str:
         """Format one record."""
@@ -26,7 +26,7 @@
 
 
 def configure_logs(verbosity: str, log_format: str) -> None:
-    """Set verbosity and form of this process's logs.
+    """Set the level and the format of this process's logs.
 
     :param verbosity: ``debug``, ``info``, ``warning`` or ``error``.
     :param log_format: ``text`` or ``json``.
@@ -34,7 +34,7 @@
     logging.use_absl_handler()
     logging.set_verbosity(verbosity)
     logging.set_stderrthreshold(verbosity)
-    for noisy in ("httpx", "httpcore"):
-        standard_logging.getLogger(noisy).setLevel(standard_logging.WARNING)
+    for library in ("httpx", "httpcore"):
+        standard_logging.getLogger(library).setLevel(standard_logging.WARNING)
     if log_format == "json":
         logging.get_absl_handler().setFormatter(JsonFormatter())
--- a/src/godwitbank/_internal/cli/program.py
+++ b/src/godwitbank/_internal/cli/program.py
@@ -1,4 +1,4 @@
-"""The frame of every program: flags, logs, errors, exit statuses."""
+"""Parts that all programs share: flags, logs, error messages, exit statuses."""
 
 import sys
 from collections.abc import Callable
@@ -16,7 +16,7 @@
     UsageError,
 )
 
-_STATUSES: tuple[tuple[type[GodwitbankError], Status], ...] = (
+_ERROR_STATUSES: tuple[tuple[type[GodwitbankError], Status], ...] = (
     (UsageError, Status.USAGE),
     (DocumentError, Status.WRONG_DOCUMENT),
     (ConflictError, Status.CONFLICT),
@@ -25,7 +25,12 @@
 
 
 class Program:
-    """One program with its own set of flags."""
+    """A command-line program with its own set of flags.
+
+    :param name: name of the program.
+    :param summary: one line that says what the program does.
+    :param usage: form of its command line.
+    """
 
     def __init__(self, name: str, summary: str, usage: str) -> None:
         self.name = name
@@ -35,8 +40,8 @@
         self.define_enum(
             "verbosity", "info", ["debug", "info", "warning", "error"], "Log level."
         )
-        self.define_enum("log_format", "text", ["text", "json"], "Form of the logs.")
-        self.define_bool("help", False, "Show this text.")
+        self.define_enum("log_format", "text", ["text", "json"], "Format of the logs.")
+        self.define_bool("help", False, "Show this help.")
         self.define_bool("version", False, "Show the version.")
 
     def define_string(self, name: str, default: str | None, text: str) -> None:
@@ -48,13 +53,13 @@
         flags.DEFINE_float(name, default, text, flag_values=self.flags)
 
     def define_bool(self, name: str, default: bool, text: str) -> None:
-        """Define a flag that is on or off."""
+        """Define a boolean flag."""
         flags.DEFINE_bool(name, default, text, flag_values=self.flags)
 
     def define_enum(
         self, name: str, default: str, values: list[str], text: str
     ) -> None:
-        """Define a flag that takes one of some words."""
+        """Define a flag that takes one of several values."""
         flags.DEFINE_enum(name, default, values, text, flag_values=self.flags)
 
     def render_help(self) -> str:
@@ -68,7 +73,10 @@
         return "\n".join(lines)
 
     def run(self, main: Callable[[flags.FlagValues, list[str]], Status]) -> None:
-        """Parse the command line, run ``main`` and exit with its status."""
+        """Parse the command line, run ``main`` and exit with the status it returns.
+
+        An expected error is printed and gives the status of its class.
+        """
         sys.exit(self._run(main, sys.argv))
 
     def _run(
@@ -91,14 +99,14 @@
         except GodwitbankError as error:
             print(f"{self.name}: {error}", file=sys.stderr)
             if self.flags.verbosity == "debug":
-                logging.exception("traceback of the failure above")
-            return _find_status(error)
+                logging.exception("traceback of the error above")
+            return _get_error_status(error)
         except KeyboardInterrupt:
             return Status.INTERRUPTED
 
 
-def _find_status(error: GodwitbankError) -> Status:
-    for kind, status in _STATUSES:
+def _get_error_status(error: GodwitbankError) -> Status:
+    for kind, status in _ERROR_STATUSES:
         if isinstance(error, kind):
             return status
     return Status.ERROR
--- a/src/godwitbank/_internal/cli/statuses.py
+++ b/src/godwitbank/_internal/cli/statuses.py
@@ -1,12 +1,12 @@
-"""Exit statuses of every command."""
+"""Exit statuses of the commands."""
 
 from enum import IntEnum
 
 
 class Status(IntEnum):
-    """What a command's exit status means.
+    """Exit status of a command.
 
-    They are documented in ``docs/OPERATIONS.md``; scripts may rely on them.
+    The values are documented in ``docs/OPERATIONS.md``; scripts may rely on them.
     """
 
     SUCCESS = 0
--- a/src/godwitbank/_internal/commands/__init__.py
+++ b/src/godwitbank/_internal/commands/__init__.py
@@ -1,4 +1,4 @@
-"""One module per operator command."""
+"""Operator commands, one module each."""
 
 from importlib import import_module
 from typing import Protocol
@@ -10,12 +10,16 @@
 
 
 class Command(Protocol):
-    """What every command class offers."""
+    """Interface of the command classes."""
 
     summary: str
 
     def run(self, values: flags.FlagValues, arguments: list[str]) -> Status:
-        """Run the command and return a named status."""
+        """Run the command and return its exit status.
+
+        :param values: flags of the command line.
+        :param arguments: arguments after the command's name.
+        """
 
 
 _SUMMARIES = {
@@ -31,18 +35,20 @@
 
 
 def describe_commands() -> str:
-    """List the commands with their summaries."""
+    """Return a help text that lists the commands with their summaries."""
     return "\n".join(f"  {name:<10} {text}" for name, text in _SUMMARIES.items())
 
 
 def load_command(name: str) -> Command:
-    """Load a command by name; only the one asked for is imported.
+    """Import the module of a command and return an instance of its class.
+
+    Modules of other commands aren't imported, which keeps the start short.
 
-    :raises UsageError: when there is no such command.
+    :raises UsageError: if there is no such command.
     """
     if name not in _SUMMARIES:
         raise UsageError(
-            f"no command {name!r}", remedy=f"use one of: {', '.join(_SUMMARIES)}"
+            f"unknown command {name!r}", remedy=f"use one of: {', '.join(_SUMMARIES)}"
         )
     module = import_module(f"godwitbank._internal.commands.{name}")
     command: Command = getattr(module, f"{name.capitalize()}Command")()
--- a/src/godwitbank/_internal/commands/apply.py
+++ b/src/godwitbank/_internal/commands/apply.py
@@ -14,12 +14,12 @@
 
 
 class ApplyCommand:
-    """Put a document in force through any entry."""
+    """Submit a service document to an entry, which puts it in force everywhere."""
 
     summary = "put a document in force through any entry"
 
     def run(self, values: flags.FlagValues, arguments: list[str]) -> Status:
-        """Check the file, then have it accepted."""
+        """Check the file, submit it, and print the revision that it got."""
         text, document = read_document(require_single_argument(arguments, "document"))
         operation = values.operation or uuid.uuid4().hex
         headers = {"Operation-Id": operation, "Operator": values.operator}
--- a/src/godwitbank/_internal/commands/check.py
+++ b/src/godwitbank/_internal/commands/check.py
@@ -7,12 +7,12 @@
 
 
 class CheckCommand:
-    """Check a document offline."""
+    """Check a service document without calling an entry."""
 
     summary = "check a document offline"
 
     def run(self, values: flags.FlagValues, arguments: list[str]) -> Status:
-        """Check the file named."""
+        """Check the file, and print the document's service and classes."""
         del values
         path = require_single_argument(arguments, "document")
         _, document = read_document(path)
--- a/src/godwitbank/_internal/commands/client.py
+++ b/src/godwitbank/_internal/commands/client.py
@@ -1,4 +1,4 @@
-"""What the commands share: calls to an entry and reading of documents."""
+"""Parts that the commands share: calls to an entry, reading of documents, progress."""
 
 import sys
 from pathlib import Path
@@ -19,9 +19,10 @@
 
 
 def require_single_argument(arguments: list[str], what: str) -> str:
-    """Take the only argument of a command.
+    """Return the single argument of a command.
 
-    :raises UsageError: when there are none or several.
+    :param what: name of the argument for the error message.
+    :raises UsageError: if there are none or several.
     """
     if len(arguments) != 1:
         raise UsageError(f"give exactly one {what}", remedy="see --help")
@@ -29,9 +30,10 @@
 
 
 def read_document(path: str) -> tuple[str, ServiceDocument]:
-    """Read and check a document file.
+    """Read and check the file of a service document.
 
-    :raises DocumentError: naming file, line, key and remedy.
+    :return: text of the file, and the document.
+    :raises DocumentError: if the file can't be read or the document is invalid.
     """
     try:
         text = Path(path).read_text(encoding="utf-8")
@@ -44,9 +46,9 @@
     parsed = ServiceDocument.from_text(text)
     if not isinstance(parsed, Success):
         raise DocumentError(
-            f"the document is wrong: {parsed.failure()}",
+            f"the document is invalid: {parsed.failure()}",
             context=path,
-            remedy="mend the document; 'godwitbank check' tells when it is right",
+            remedy="fix the document; 'godwitbank check' tells when it is valid",
         )
     return text, parsed.unwrap()
 
@@ -58,9 +60,9 @@
     headers: dict[str, str] | None = None,
     content: bytes | str | None = None,
 ) -> httpx.Response:
-    """Call an entry.
+    """Send a request to the entry named by the flag ``--entry``.
 
-    :raises UnreachableError: when it gave no answer.
+    :raises UnreachableError: if no answer came within the timeout.
     """
     url = f"http://{values.entry}{path}"
     try:
@@ -76,10 +78,10 @@
 
 
 def decode_success(answer: httpx.Response) -> Any:
-    """Decode an entry's answer.
+    """Decode an entry's answer, or raise the problem that it reports.
 
-    :raises ConflictError: when another operator was first.
-    :raises RefusedError: for every other problem.
+    :raises ConflictError: if another operator changed the document first.
+    :raises RefusedError: for any other problem.
     """
     if answer.is_success:
         return answer.json()
@@ -94,7 +96,7 @@
 
 
 def show_progress(text: str) -> None:
-    """Show progress on a terminal; silent elsewhere."""
+    """Show a progress line if standard error is a terminal."""
     if sys.stderr.isatty():
         print(f"\r\033[K{text}", end="", file=sys.stderr, flush=True)
 
--- a/src/godwitbank/_internal/commands/diff.py
+++ b/src/godwitbank/_internal/commands/diff.py
@@ -14,12 +14,12 @@
 
 
 class DiffCommand:
-    """Compare a document with the one in force."""
+    """Compare a service document with the one in force."""
 
     summary = "compare a document with the one in force"
 
     def run(self, values: flags.FlagValues, arguments: list[str]) -> Status:
-        """Print a unified diff and the revision it is against."""
+        """Print a unified diff against the document in force, and its revision."""
         path = require_single_argument(arguments, "document")
         text, document = read_document(path)
         answer = call_entry(values, "GET", f"/v1/services/{document.name}/document")
--- a/src/godwitbank/_internal/commands/drain.py
+++ b/src/godwitbank/_internal/commands/drain.py
@@ -17,17 +17,17 @@
 
 
 class DrainCommand:
-    """Ask an agent to leave, and wait until it has finished."""
+    """Drain an agent: it accepts no new work and finishes its running tasks."""
 
     summary = "ask an agent to leave, and wait until it has finished"
 
     def run(self, values: flags.FlagValues, arguments: list[str]) -> Status:
-        """Ask, then poll until the agent says it leaves and runs nothing."""
+        """Request the drain, then poll until the agent is leaving with no task left."""
         name = require_single_argument(arguments, "agent name")
         headers = {"Operator": values.operator}
         decode_success(call_entry(values, "POST", f"/v1/agents/{name}/drain", headers))
-        began = time.monotonic()
-        while time.monotonic() - began < values.timeout:
+        started_at = time.monotonic()
+        while time.monotonic() - started_at < values.timeout:
             state = decode_success(call_entry(values, "GET", "/v1/status"))
             rows = [row for row in state["agents"] if row["agent"] == name]
             if not rows or (rows[0]["leaving"] and not rows[0]["outstanding"]):
--- a/src/godwitbank/_internal/commands/status.py
+++ b/src/godwitbank/_internal/commands/status.py
@@ -33,12 +33,12 @@
 
 
 class StatusCommand:
-    """Show what an entry knows of entries, agents and services."""
+    """Show the entries, agents and services that an entry knows."""
 
     summary = "show what an entry knows of entries, agents and services"
 
     def run(self, values: flags.FlagValues, arguments: list[str]) -> Status:
-        """Print the state of the entry and what it knows."""
+        """Print the state of the entry and of the processes and services it knows."""
         del arguments
         state = decode_success(call_entry(values, "GET", "/v1/status"))
         print(json.dumps(state, indent=2) if values.json else _render(state))
--- a/src/godwitbank/_internal/commands/submit.py
+++ b/src/godwitbank/_internal/commands/submit.py
@@ -23,14 +23,14 @@
     summary = "submit a job file or a single request"
 
     def run(self, values: flags.FlagValues, arguments: list[str]) -> Status:
-        """Submit, print the whole answer or the problem."""
+        """Submit the work, and print the complete answer or the problem."""
         if not values.service:
-            raise UsageError("--service is needed", remedy="see --help")
+            raise UsageError("--service is required", remedy="see --help")
         show_progress("submitted, waiting for the whole answer")
-        kind = values["class"].value
+        work_class = values["class"].value
         answer = (
-            self._submit_request(values, kind, arguments)
-            if kind
+            self._submit_request(values, work_class, arguments)
+            if work_class
             else self._submit_job(values, arguments)
         )
         clear_progress()
@@ -58,7 +58,7 @@
         )
 
     def _submit_request(
-        self, values: flags.FlagValues, kind: str, arguments: list[str]
+        self, values: flags.FlagValues, work_class: str, arguments: list[str]
     ) -> httpx.Response:
         text = require_single_argument(arguments, "JSON payload")
         try:
@@ -67,6 +67,10 @@
             raise UsageError(
                 f"the payload is not JSON: {error}", remedy="quote it for the shell"
             ) from None
-        body = {"class": kind, "payload": payload, "request_id": values.request_id}
+        body = {
+            "class": work_class,
+            "payload": payload,
+            "request_id": values.request_id,
+        }
         path = f"/v1/services/{values.service}/requests"
         return call_entry(values, "POST", path, None, json.dumps(body))
--- a/src/godwitbank/_internal/commands/wait.py
+++ b/src/godwitbank/_internal/commands/wait.py
@@ -18,39 +18,46 @@
 
 
 def list_outdated(state: dict[str, Any], service: str, revision: int) -> list[str]:
-    """List the processes that don't hold a revision yet."""
-    behind = []
+    """List the processes that don't have a revision yet.
+
+    :param state: status of an entry.
+    :param service: name of the service.
+    :param revision: revision of the service's document.
+    """
+    outdated = []
     if state["revisions"].get(service, 0) < revision:
-        behind.append(state["entry"])
+        outdated.append(state["entry"])
     for row in state["entries"] + state["agents"]:
         if not row["connected"] or row["revisions"].get(service, 0) < revision:
-            behind.append(row.get("entry") or row.get("agent") or row["address"])
-    return behind
+            outdated.append(row.get("entry") or row.get("agent") or row["address"])
+    return outdated
 
 
 class WaitCommand:
-    """Wait until a revision is in force in every process."""
+    """Wait until a revision of a document is in force in every process."""
 
     summary = "wait until a revision is in force in every process"
 
     def run(self, values: flags.FlagValues, arguments: list[str]) -> Status:
-        """Poll an entry until nobody is behind, or the timeout passes."""
+        """Poll an entry until all processes have the revision or the time is over."""
         del arguments
         if not values.service or not values.revision:
-            raise UsageError("--service and --revision are needed", remedy="see --help")
+            raise UsageError(
+                "--service and --revision are required", remedy="see --help"
+            )
         revision = int(values.revision)
-        began = time.monotonic()
+        started_at = time.monotonic()
         while True:
             state = decode_success(call_entry(values, "GET", "/v1/status"))
-            behind = list_outdated(state, values.service, revision)
-            if not behind:
+            outdated = list_outdated(state, values.service, revision)
+            if not outdated:
                 clear_progress()
-                seconds = time.monotonic() - began
+                seconds = time.monotonic() - started_at
                 print(f"revision {revision} is in force everywhere ({seconds:.1f} s)")
                 return Status.SUCCESS
-            if time.monotonic() - began > values.timeout:
+            if time.monotonic() - started_at > values.timeout:
                 clear_progress()
-                print(f"revision {revision} is not in force in: {', '.join(behind)}")
+                print(f"revision {revision} is not in force in: {', '.join(outdated)}")
                 return Status.TIMED_OUT
-            show_progress(f"waiting for {len(behind)} processes")
+            show_progress(f"waiting for {len(outdated)} processes")
             time.sleep(POLL_INTERVAL_SECONDS)
--- a/src/godwitbank/_internal/exceptions.py
+++ b/src/godwitbank/_internal/exceptions.py
@@ -1,8 +1,13 @@
-"""Errors that a user may see: what happened, where, and how to mend it."""
+"""Expected errors, whose messages are shown to the user."""
 
 
 class GodwitbankError(Exception):
-    """Base of every expected failure; printed without a traceback."""
+    """Base class of the expected errors, which are printed without a traceback.
+
+    :param message: what happened.
+    :param context: where it happened, such as a file or a setting.
+    :param remedy: what the user can do about it.
+    """
 
     def __init__(self, message: str, *, context: str = "", remedy: str = "") -> None:
         super().__init__(message)
@@ -20,27 +25,27 @@
 
 
 class SettingsError(GodwitbankError):
-    """A settings file can't be used."""
+    """A settings file is missing or invalid."""
 
 
 class DocumentError(GodwitbankError):
-    """A service document can't be accepted."""
+    """A service document can't be read or is invalid."""
 
 
 class FrameError(GodwitbankError):
-    """Bytes on a stream that are not a frame of this protocol version."""
+    """A stream received bytes that are not a frame of this protocol version."""
 
 
 class AddressInUseError(GodwitbankError):
-    """A listening address is taken by another process."""
+    """A listening address is in use by another process."""
 
 
 class TableError(GodwitbankError):
-    """The platform's table service gave no usable answer."""
+    """The platform's table service returned no usable answer."""
 
 
 class ConflictError(GodwitbankError):
-    """Another writer changed the row first."""
+    """Another writer has changed the row in the meantime."""
 
 
 class UnreachableError(GodwitbankError):
@@ -52,4 +57,4 @@
 
 
 class UsageError(GodwitbankError):
-    """The command line was not understood."""
+    """The command line is invalid."""
--- a/src/godwitbank/_internal/platform/__init__.py
+++ b/src/godwitbank/_internal/platform/__init__.py
@@ -1,4 +1,5 @@
-"""Adapter to the platform godwitbank runs on: names, formats and calls.
+"""Adapter between godwitbank and the platform that it runs on.
 
-Nothing in here decides, and nothing outside knows the platform's names.
+It holds the platform's names, data formats and calls. Scheduling decisions are made
+elsewhere, and no other package uses the platform's names.
 """
--- a/src/godwitbank/_internal/platform/agent_program.py
+++ b/src/godwitbank/_internal/platform/agent_program.py
@@ -1,4 +1,4 @@
-"""The agent as the platform starts it."""
+"""The agent process as the platform starts it."""
 
 import asyncio
 import socket
@@ -26,7 +26,8 @@
 async def serve_agent(settings: PlatformSettings, report_socket: socket.socket) -> None:
     """Run the agent until it is stopped.
 
-    :param report_socket: listening socket that the endpoint reports to.
+    :param settings: settings that the platform wrote for this VM.
+    :param report_socket: listening socket that receives the endpoint's reports.
     """
     orders = EndpointClient(settings.endpoint)
     counts = Counts()
@@ -37,16 +38,16 @@
     )
     reload_settings_on_sighup(process, log)
     process.learn_entries(settings.seeds)
-    finder = asyncio.create_task(discover_entries(store, process))
-    metrics_at = bind(f"{settings.ip}:{METRICS_PORT}", "metrics")
+    discovery = asyncio.create_task(discover_entries(store, process))
+    metrics_socket = bind(f"{settings.ip}:{METRICS_PORT}", "metrics")
     servers = [
         HttpServer(make_reports_app(process), report_socket, accepts=1),
-        HttpServer(make_agent_monitoring(process), metrics_at, accepts=1),
+        HttpServer(make_agent_monitoring(process), metrics_socket, accepts=1),
     ]
     for server in servers:
         await server.start()
     await process.run()
-    finder.cancel()
+    discovery.cancel()
     for server in servers:
         await server.stop()
     store.close()
--- a/src/godwitbank/_internal/platform/bodies.py
+++ b/src/godwitbank/_internal/platform/bodies.py
@@ -1,7 +1,7 @@
-"""Bodies that callers, endpoints and the store send, decoded once.
+"""Decoding of the JSON bodies that callers, endpoints and the store send.
 
-Each wire type carries the platform's names; what leaves this module are the
-product's types.
+The private structs mirror the wire format under the platform's names. The functions
+return this project's own types, so that other modules don't depend on the format.
 """
 
 from typing import Annotated, Literal
@@ -23,47 +23,47 @@
 from godwitbank._internal.utils.decoding import decode_json
 
 MAX_PAYLOAD_BYTES = 4000
-"""Bytes of a job's payload (platform's bound)."""
+"""Largest payload of a job; the limit is the platform's."""
 
 MAX_JOB_TASKS = 10_000
-"""Tasks of one job; a body of the size allowed could ask for millions."""
+"""Most tasks of one job. A body within the size limit could ask for millions."""
 
 
-class _Wire(msgspec.Struct, rename="kebab"):
-    """Names on the wire are in kebab case."""
+class _WireStruct(msgspec.Struct, rename="kebab"):
+    """Base of wire structs; field names are in kebab case on the wire."""
 
 
-class _Step(_Wire):
+class _Step(_WireStruct):
     count: int = 0
     cpu: int = 0
     mem_mb: int = 0
     gpu: int = 0
-    # Milliseconds.
+    # Run time of one task that the caller expects.
     estimate_ms: float = 0
     after: list[int] = []
     saves_progress: bool = False
     gang: bool = False
     same_rack: bool = False
-    # A label the endpoint must carry.
+    # Label that the endpoint must have; empty for any endpoint.
     requires: str = ""
-    # The rack of the data, not of the task.
+    # Rack that holds the input data; a task may run in another one.
     affinity: str = ""
-    # Most tasks of the step on one endpoint.
+    # Most tasks of the step on one endpoint; 0 for no limit.
     anti_affinity: int = 0
     speculative: bool = False
     long_running: bool = False
     fills: bool = False
 
 
-class _Job(_Wire):
+class _Job(_WireStruct):
     spec: str = ""
     steps: list[_Step] = []
     best_effort: bool = False
-    # Occurrences; 0 is a job that runs once.
+    # Number of repetitions; 0 for a job that runs once.
     times: int = 0
 
 
-class _Route(_Wire):
+class _Route(_WireStruct):
     name: str
     host: str
     prefix: str
@@ -71,15 +71,15 @@
     priority: int = 0
     max_attempts: int = 1
     stretch: float = 1.0
-    # Added to the stretched run time; not the whole objective.
+    # Added to the run time times stretch; it isn't the whole latency objective.
     target_latency_ms: float = 0
 
 
-class _Limits(_Wire):
+class _Limits(_WireStruct):
     max_body_bytes: int = 262144
 
 
-class _Config(_Wire):
+class _Config(_WireStruct):
     version: int
     routes: list[_Route] = []
     limits: _Limits = msgspec.field(default_factory=_Limits)
@@ -88,24 +88,25 @@
 _Amount = Annotated[int, msgspec.Meta(ge=0)]
 
 
-class _ReportedCapacity(_Wire):
+class _ReportedCapacity(_WireStruct):
     cpu: _Amount
     mem_mb: _Amount
     gpu: _Amount = 0
 
 
-class _Report(_Wire):
-    # What is missing or of another kind here was written by somebody else: a
-    # default would make an endpoint of it.
+class _Report(_WireStruct):
+    # No defaults for the fields that identify an endpoint: a body in which they are
+    # missing or have another type comes from a foreign writer, and defaults would
+    # register an endpoint that doesn't exist.
     service: Annotated[str, msgspec.Meta(min_length=1)]
     address: str
     state: Literal["ready", "draining"]
     capacity: _ReportedCapacity
     seq: int
-    # The endpoint's kind and its rack.
+    # The kind of endpoint and its rack.
     labels: list[str] = []
     clock_ms: int = 0
-    # How much longer runs take longer after the endpoint's start.
+    # Remaining time in which runs are slower because the endpoint has just started.
     cold_left_ms: float = 0
 
 
@@ -114,7 +115,7 @@
     run: int
     checkpoint: str
     percent: int
-    # Some platforms add a figure, which is not read.
+    # Some platforms append a fifth element; it is ignored.
 
 
 class _EndedRow(msgspec.Struct, array_like=True):
@@ -125,18 +126,18 @@
     checkpoint: str
 
 
-class _Hold(_Wire):
+class _RenewalAnswer(_WireStruct):
     clock_ms: int = 0
     running: list[_RunningRow] = []
     ended: list[_EndedRow] = []
 
 
-class _OrderAnswer(_Wire):
+class _OrderAnswer(_WireStruct):
     clock_ms: int | None = None
     reason: str = ""
 
 
-_ENDS = {
+_RUN_ENDS = {
     "done": RunEnd.DONE,
     "failed": RunEnd.FAILED,
     "stopped": RunEnd.STOPPED,
@@ -148,15 +149,15 @@
 _job_decoder = msgspec.json.Decoder(_Job)
 _config_decoder = msgspec.json.Decoder(_Config)
 _report_decoder = msgspec.json.Decoder(_Report)
-_hold_decoder = msgspec.json.Decoder(_Hold)
+_renewal_decoder = msgspec.json.Decoder(_RenewalAnswer)
 _answer_decoder = msgspec.json.Decoder(_OrderAnswer)
 
 
 class OrderAnswer(msgspec.Struct):
-    """An endpoint's answer to an order.
+    """An endpoint's answer to an order to start or stop a run.
 
-    :param clock: its clock in milliseconds, or ``None``.
-    :param reason: why nothing was done, or an empty string.
+    :param clock: the endpoint's clock in milliseconds, or ``None`` if not given.
+    :param reason: why the order was not carried out, or an empty string.
     """
 
     clock: int | None
@@ -164,19 +165,25 @@
 
 
 def decode_job(job: str, queue: str, body: bytes) -> Result[JobSpec, str]:
-    """Decode a submitted job, or say what is wrong with it."""
+    """Decode and validate a submitted job.
+
+    :param job: id of the job, from the request's path.
+    :param queue: name of the queue.
+    :param body: body of the request.
+    :return: the job, or a message about what is invalid.
+    """
     try:
         wire = decode_json(_job_decoder, body)
     except msgspec.DecodeError as error:
         return Failure(str(error))
-    fault = _find_fault(wire)
-    if fault is not None:
-        return Failure(fault)
+    problem = _find_problem(wire)
+    if problem is not None:
+        return Failure(problem)
     steps = tuple(_convert_step(step) for step in wire.steps)
     return Success(JobSpec(job, queue, wire.spec, steps))
 
 
-def _find_fault(wire: _Job) -> str | None:
+def _find_problem(wire: _Job) -> str | None:
     if not wire.best_effort or wire.times:
         return "only jobs with best-effort, and without times, can be run here"
     if not wire.steps:
@@ -211,7 +218,7 @@
 def decode_configuration(value: bytes) -> Configuration:
     """Decode the operators' configuration.
 
-    :raises msgspec.DecodeError: when it isn't one.
+    :raises msgspec.DecodeError: when the value is no configuration.
     """
     wire = decode_json(_config_decoder, value)
     queues = tuple(_convert_route(route) for route in wire.routes)
@@ -232,16 +239,18 @@
 
 
 def decode_report(instance: str, body: bytes) -> EndpointReport:
-    """Decode an endpoint's report about itself.
+    """Decode an endpoint's report about its own state.
 
-    :raises msgspec.DecodeError: when it isn't one.
+    :param instance: id of the endpoint's boot, from the request's path.
+    :param body: body of the request.
+    :raises msgspec.DecodeError: when the body is no report.
     """
     wire = decode_json(_report_decoder, body)
-    room = wire.capacity
+    capacity = wire.capacity
     return EndpointReport(
         instance,
         wire.service,
-        Resources(room.cpu, room.mem_mb, room.gpu),
+        Resources(capacity.cpu, capacity.mem_mb, capacity.gpu),
         tuple(wire.labels),
         wire.state == "draining",
         wire.clock_ms,
@@ -254,11 +263,13 @@
 def decode_run_lists(
     body: bytes,
 ) -> tuple[int, tuple[ListedRun, ...], tuple[ListedEnd, ...]]:
-    """Decode an endpoint's clock, what it runs, and what ended.
+    """Decode an endpoint's answer to a lease renewal.
 
-    :raises msgspec.DecodeError: when it isn't that.
+    :return: the endpoint's clock in milliseconds, its current runs, and the runs that
+        have ended.
+    :raises msgspec.DecodeError: when the body has another format.
     """
-    wire = decode_json(_hold_decoder, body)
+    wire = decode_json(_renewal_decoder, body)
     running = tuple(
         ListedRun(row.task, row.run, row.checkpoint, row.percent)
         for row in wire.running
@@ -268,7 +279,7 @@
             row.number,
             row.task,
             row.run,
-            _ENDS.get(row.how, RunEnd.LOST),
+            _RUN_ENDS.get(row.how, RunEnd.LOST),
             row.checkpoint,
         )
         for row in wire.ended
@@ -277,7 +288,10 @@
 
 
 def decode_order_answer(body: bytes) -> OrderAnswer:
-    """Decode an endpoint's answer to an order; an empty body says nothing."""
+    """Decode an endpoint's answer to an order.
+
+    An empty or malformed body gives an answer without clock and reason.
+    """
     if not body:
         return OrderAnswer(None, "")
     try:
--- a/src/godwitbank/_internal/platform/callers.py
+++ b/src/godwitbank/_internal/platform/callers.py
@@ -1,7 +1,8 @@
-"""What callers ask of an entry over HTTP.
+"""HTTP interface of an entry for callers.
 
-Requests and responses are those of ``starlette``: importing ``litestar`` would delay a
-program's first answer, and queues are found by our own table.
+It uses the requests and responses of ``starlette`` directly: importing ``litestar``
+would delay the first answer of a process that starts, and its router isn't needed, as
+queues are looked up in this project's own routing table.
 """
 
 import asyncio
@@ -26,10 +27,10 @@
 ALLOWED_METHODS = ("GET", "POST", "DELETE")
 
 JOB_ID_LENGTH = 16
-"""Hexadecimal digits of a job's id."""
+"""Number of hexadecimal digits in a job's id."""
 
 DEFAULT_TIMEOUT_SECONDS = 10.0
-"""Seconds a caller waits who doesn't say how long."""
+"""Timeout of a request that doesn't give its own in the header ``deadline-ms``."""
 
 _STATUSES = {
     JobEnd.COMPLETED: 200,
@@ -40,25 +41,25 @@
 
 
 def make_callers_app(process: "RunEntryProcess") -> ASGIApp:
-    """Make the application that callers reach.
+    """Make the ASGI application for callers.
 
-    A request to submit a job is refused ahead of it while there is no processor time:
-    a refusal there takes less of it than behind bodies.
+    While the process is short of processor time, requests to submit a job are refused
+    before their bodies are read and decoded, which makes a refusal cheaper.
     """
 
-    async def shed_or_serve(scope: Scope, receive: Receive, send: Send) -> None:
+    async def refuse_or_serve(scope: Scope, receive: Receive, send: Send) -> None:
         if scope["type"] != "http":
             return
         if process.core.sheds_load and scope["method"] == "POST":
-            response = _shed(process, str(scope["path"]))
+            response = _refuse_unread(process, str(scope["path"]))
         else:
             response = await _serve(process, Request(scope, receive))
         await response(scope, receive, send)
 
-    return shed_or_serve
+    return refuse_or_serve
 
 
-def _shed(process: "RunEntryProcess", path: str) -> Response:
+def _refuse_unread(process: "RunEntryProcess", path: str) -> Response:
     result = process.shed(path.rpartition("/")[2])
     process.core.counts.add("requests", "POST")
     return _respond(process, 503, _describe(result), result.retry_after)
@@ -101,15 +102,17 @@
     decoded = decode_job(name, queue.name, body)
     if not isinstance(decoded, Success):
         return _respond(process, 400, {"error": decoded.failure()})
-    patience = _read_patience(request)
-    work = asyncio.ensure_future(process.submit(decoded.unwrap(), patience))
-    gone = asyncio.ensure_future(await_disconnect(request.receive))
-    await asyncio.wait({work, gone}, return_when=asyncio.FIRST_COMPLETED)
-    gone.cancel()
-    if not work.done():
-        work.cancel()
+    timeout_seconds = _read_timeout(request)
+    submission = asyncio.ensure_future(
+        process.submit(decoded.unwrap(), timeout_seconds)
+    )
+    disconnect = asyncio.ensure_future(await_disconnect(request.receive))
+    await asyncio.wait({submission, disconnect}, return_when=asyncio.FIRST_COMPLETED)
+    disconnect.cancel()
+    if not submission.done():
+        submission.cancel()
         return _respond(process, 499, {})
-    return _render(process, work.result())
+    return _render(process, submission.result())
 
 
 def _is_job_id(name: str) -> bool:
@@ -117,7 +120,7 @@
     return len(name) == JOB_ID_LENGTH and set(name) <= digits
 
 
-def _read_patience(request: Request) -> float:
+def _read_timeout(request: Request) -> float:
     text = request.headers.get("deadline-ms", "")
     return int(text) / 1000 if text.isdigit() else DEFAULT_TIMEOUT_SECONDS
 
@@ -153,6 +156,6 @@
     if retry_after is not None:
         headers["Retry-After"] = str(math.ceil(retry_after))
     if process.core.stopping:
-        # A connection kept open would be cut under the caller's next request.
+        # A connection kept alive would be closed during the caller's next request.
         headers["Connection"] = "close"
     return headers
--- a/src/godwitbank/_internal/platform/client.py
+++ b/src/godwitbank/_internal/platform/client.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store over HTTP."""
+"""HTTP client of the platform's store."""
 
 from urllib.parse import urlencode
 
@@ -10,21 +10,21 @@
 )
 
 MAX_CONNECTIONS = 4
-"""Connections to the store: one waits for changes, the others come and go."""
+"""Most connections to the store: one waits for changes, others serve short calls."""
 
 
 class RefusedCallError(Exception):
-    """The store answered that it did nothing; a later call may be taken."""
+    """The store refused a call and changed nothing; a later call may succeed."""
 
 
 CALL_ERRORS = (UnreachableError, NoAnswerError, RefusedCallError)
-"""What a call raises when no usable answer came."""
+"""Exceptions of a call that got no usable answer."""
 
 
 class StoreHttpClient:
-    """Calls to the store, few at a time.
+    """Calls the store over at most ``MAX_CONNECTIONS`` connections.
 
-    :param address: ``host:port``.
+    :param address: ``host:port`` of the store.
     """
 
     def __init__(self, address: str) -> None:
@@ -33,7 +33,7 @@
     async def read(
         self, path: str, query: dict[str, str], timeout_seconds: float
     ) -> bytes:
-        """Read rows.
+        """Send a request to read rows, and return the body of its answer.
 
         :raises UnreachableError, NoAnswerError, RefusedCallError: see ``CALL_ERRORS``.
         """
@@ -41,14 +41,14 @@
         return _expect_success(await self._client.get(target, timeout_seconds))
 
     async def write(self, path: str, body: bytes, timeout_seconds: float) -> None:
-        """Write rows.
+        """Send a request to write rows.
 
         :raises UnreachableError, NoAnswerError, RefusedCallError: see ``CALL_ERRORS``.
         """
         _expect_success(await self._client.post(path, body, {}, timeout_seconds))
 
     def close(self) -> None:
-        """Close connections."""
+        """Close all connections."""
         self._client.close()
 
 
--- a/src/godwitbank/_internal/platform/endpoint.py
+++ b/src/godwitbank/_internal/platform/endpoint.py
@@ -1,4 +1,4 @@
-"""Calls to the endpoint on the agent's own VM."""
+"""HTTP client of the endpoint on the agent's own VM."""
 
 from typing import Any
 
@@ -26,12 +26,12 @@
 )
 
 STOP_TIMEOUT_SECONDS = 0.3
-"""Longest wait for an answer to an order to stop, which nobody waits for."""
+"""Timeout of an order to stop; no other operation waits for its answer."""
 
 MAX_CONNECTIONS = 16
-"""Connections to the endpoint, which takes 64."""
+"""Most connections to the endpoint, which accepts 64."""
 
-_REASONS = {
+_CONFLICT_VERDICTS = {
     "fence": StartVerdict.FENCED,
     "old": StartVerdict.SUPERSEDED,
     "late": StartVerdict.LAPSED,
@@ -39,7 +39,7 @@
     "ticket": StartVerdict.INVALID,
 }
 
-_STATUSES = {
+_STATUS_VERDICTS = {
     200: StartVerdict.STARTED,
     400: StartVerdict.INVALID,
     421: StartVerdict.OTHER_INSTANCE,
@@ -49,13 +49,16 @@
 
 
 class EndpointClient:
-    """The endpoint's orders over HTTP."""
+    """Sends orders to the endpoint over HTTP.
+
+    :param address: ``host:port`` of the endpoint.
+    """
 
     def __init__(self, address: str) -> None:
         self._client = HttpClient(address, MAX_CONNECTIONS)
 
     async def start(self, order: OrderStart) -> StartAnswered:
-        """Order a start."""
+        """Order the endpoint to start a run."""
         body: dict[str, Any] = {
             "task": order.task,
             "run": order.run,
@@ -70,28 +73,37 @@
                 "/-/run-start", body, order.instance, order.timeout_seconds
             )
         except UnreachableError:
-            return self._answer(order, StartVerdict.UNREACHABLE, None)
+            return self._make_answer(order, StartVerdict.UNREACHABLE, None)
         except NoAnswerError:
-            return self._answer(order, StartVerdict.NO_ANSWER, None)
+            return self._make_answer(order, StartVerdict.NO_ANSWER, None)
         answer = decode_order_answer(response.content)
-        return self._answer(order, _judge(response.status, answer), answer.clock)
+        return self._make_answer(
+            order, _get_start_verdict(response.status, answer), answer.clock
+        )
 
-    def _answer(
+    def _make_answer(
         self, order: OrderStart, verdict: StartVerdict, clock: int | None
     ) -> StartAnswered:
         return StartAnswered(order.task, order.run, verdict, order.token, clock)
 
     async def stop(self, order: OrderStop) -> None:
-        """Order a stop; its effect shows in the next lists."""
+        """Order the endpoint to stop a run.
+
+        The outcome shows in the run lists of a later renewal.
+        """
         body = {"task": order.task, "run": order.run, "fence-token": order.token}
         try:
             await self._post("/-/run-stop", body, order.instance, STOP_TIMEOUT_SECONDS)
         except (UnreachableError, NoAnswerError):
-            # The core sees the run still listed, and orders again.
+            # The run stays in the endpoint's lists, so that the core repeats the order.
             return
 
     async def renew(self, order: RenewLease) -> RenewalAnswered | RenewalFailed:
-        """Renew the lease, wait for an end, and fetch the lists."""
+        """Renew the lease and fetch the lists of current and ended runs.
+
+        The endpoint delays its answer for up to ``order.wait`` milliseconds, or until a
+        run ends.
+        """
         body: dict[str, Any] = {
             "fence-token": order.token,
             "last-seen": order.seen,
@@ -125,11 +137,11 @@
         return await self._client.post(path, content, headers, timeout_seconds)
 
     async def close(self) -> None:
-        """Close connections."""
+        """Close all connections."""
         self._client.close()
 
 
-def _judge(status: int, answer: OrderAnswer) -> StartVerdict:
+def _get_start_verdict(status: int, answer: OrderAnswer) -> StartVerdict:
     if status == 409:
-        return _REASONS.get(answer.reason, StartVerdict.INVALID)
-    return _STATUSES.get(status, StartVerdict.NO_ANSWER)
+        return _CONFLICT_VERDICTS.get(answer.reason, StartVerdict.INVALID)
+    return _STATUS_VERDICTS.get(status, StartVerdict.NO_ANSWER)
--- a/src/godwitbank/_internal/platform/entry_program.py
+++ b/src/godwitbank/_internal/platform/entry_program.py
@@ -1,4 +1,4 @@
-"""The entry as the platform starts it."""
+"""The entry process as the platform starts it."""
 
 import asyncio
 import os
@@ -28,8 +28,8 @@
 async def serve_entry(stream_bind: str = "") -> None:
     """Run the entry until it is stopped.
 
-    :param stream_bind: ``host:port`` to listen on for streams, where something
-        between passes on what comes to the address that others are told.
+    :param stream_bind: ``host:port`` to listen on for streams, if a proxy forwards
+        connections from the announced address; empty to listen on the latter.
     """
     settings = PlatformSettings.from_environment()
     counts = Counts()
@@ -46,7 +46,7 @@
     store = StoreClient(StoreHttpClient(settings.store), settings.name, log, counts)
     subscriber = Subscriber(process.evacuate, process.install, process.count_entries)
     poll_limits = PollLimits.from_deployment(settings.deployment)
-    watchers = [
+    tasks = [
         asyncio.create_task(
             OperatorTableWatcher(store, subscriber, poll_limits, log, counts).run()
         ),
@@ -59,17 +59,19 @@
     await callers.start()
     addresses = [f"{settings.ip}:{METRICS_PORT}"]
     addresses += [
-        each for each in (settings.listen_ready, settings.listen_control) if each
+        address
+        for address in (settings.listen_ready, settings.listen_control)
+        if address
     ]
     monitoring = HttpServer(
         make_entry_monitoring(process),
-        *(bind(each, "listen") for each in addresses),
+        *(bind(address, "listen") for address in addresses),
         accepts=1,
     )
     await monitoring.start()
     await process.run()
-    for watcher in watchers:
-        watcher.cancel()
+    for task in tasks:
+        task.cancel()
     server.close()
     await callers.stop()
     await process.close()
--- a/src/godwitbank/_internal/platform/listening.py
+++ b/src/godwitbank/_internal/platform/listening.py
@@ -1,4 +1,4 @@
-"""Listening before the rest of a program is imported."""
+"""Listening socket that is opened before the rest of the agent is imported."""
 
 import socket
 from typing import NamedTuple
@@ -8,17 +8,17 @@
 
 
 class ReportListener(NamedTuple):
-    """An agent's settings, and the socket that its endpoint reports to."""
+    """An agent's settings, and the socket that receives its endpoint's reports."""
 
     settings: PlatformSettings
     report_socket: socket.socket
 
 
 def listen_for_reports() -> ReportListener:
-    """Read the settings and open the socket that the endpoint reports to.
+    """Read the settings and open the socket for the endpoint's reports.
 
-    :raises SettingsError: naming the field and the remedy.
-    :raises AddressInUseError: naming the address and the setting.
+    :raises SettingsError: if the settings are missing or invalid.
+    :raises AddressInUseError: if another process listens on the address.
     """
     settings = PlatformSettings.from_environment()
     return ReportListener(settings, bind(settings.listen_control, "listen.control"))
--- a/src/godwitbank/_internal/platform/monitoring.py
+++ b/src/godwitbank/_internal/platform/monitoring.py
@@ -1,4 +1,4 @@
-"""What the balancer and operators' monitoring ask of a process."""
+"""HTTP interface for the load balancer and the operators' monitoring."""
 
 from typing import TYPE_CHECKING
 
@@ -12,31 +12,31 @@
 
 
 def make_entry_monitoring(process: "RunEntryProcess") -> ASGIApp:
-    """Make the application that tells whether an entry is ready, and how it is."""
-    shows = _make_monitoring(process)
+    """Make the ASGI application for an entry's readiness, status and metrics."""
+    serve_monitoring = _make_monitoring(process)
 
-    async def show(scope: Scope, receive: Receive, send: Send) -> None:
+    async def serve(scope: Scope, receive: Receive, send: Send) -> None:
         if scope["type"] == "http" and scope["path"] == "/-/ready":
             status = 200 if process.core.ready else 503
             await Response(b"", status)(scope, receive, send)
         else:
-            await shows(scope, receive, send)
+            await serve_monitoring(scope, receive, send)
 
-    return show
+    return serve
 
 
 def make_agent_monitoring(process: "RunAgentProcess") -> ASGIApp:
-    """Make the application that tells how an agent is."""
+    """Make the ASGI application for an agent's status and metrics."""
     return _make_monitoring(process)
 
 
 def _make_monitoring(process: "RunEntryProcess | RunAgentProcess") -> ASGIApp:
-    async def show(scope: Scope, receive: Receive, send: Send) -> None:
+    async def serve(scope: Scope, receive: Receive, send: Send) -> None:
         if scope["type"] == "http":
             response = _render(process, str(scope["path"]))
             await response(scope, receive, send)
 
-    return show
+    return serve
 
 
 def _render(process: "RunEntryProcess | RunAgentProcess", path: str) -> Response:
--- a/src/godwitbank/_internal/platform/operators.py
+++ b/src/godwitbank/_internal/platform/operators.py
@@ -1,4 +1,7 @@
-"""What the operators want, read from the platform's store and watched there."""
+"""Watching of the operators' table in the platform's store.
+
+The table holds the configuration, and one row for each zone that is to be evacuated.
+"""
 
 import asyncio
 from collections.abc import Callable
@@ -15,18 +18,18 @@
 from godwitbank._internal.platform.store import StoreClient
 
 OPERATORS_TABLE = "op"
-"""Table of what the operators want; only they write there."""
+"""Table that only the operators write to."""
 
 NEXT_KEY_SUFFIX = "\0"
-"""Added to a key it gives the one that follows next."""
+"""Appended to a key, gives the next key in the store's order."""
 
 
 class Subscriber(NamedTuple):
-    """The process that takes what the operators want.
+    """Callbacks of the process that follows the operators' table.
 
-    :param evacuate: takes the zones that are evacuated, all of them.
-    :param configure: takes each configuration.
-    :param count_entries: tells how many entries look at the store, this one too.
+    :param evacuate: receives the complete set of evacuated zones.
+    :param configure: receives each new configuration.
+    :param count_entries: returns how many entries poll the store, including this one.
     """
 
     evacuate: Callable[[Evacuation], None]
@@ -35,7 +38,14 @@
 
 
 class OperatorTableWatcher:
-    """Delivers what the operators want."""
+    """Passes the contents of the operators' table to a subscriber as they change.
+
+    :param store: client of the platform's store.
+    :param subscriber: receives evacuations and configurations.
+    :param poll_limits: timeouts of polls, and their rate among all entries.
+    :param log: receives polls that brought a change or failed.
+    :param counts: receives the number of polls by outcome.
+    """
 
     def __init__(
         self,
@@ -50,25 +60,27 @@
         self._subscriber = subscriber
         self._log = log
         self._counts = counts
-        self._heard_at = 0.0
+        self._last_answered_at = 0.0
         self._failed = False
 
     async def run(self) -> None:
-        """Deliver what the operators want, for ever.
+        """Watch the table until cancelled.
 
-        A lost history or a failed call leads to a whole read.
+        After a failed call, also one for changes that the store no longer keeps, the
+        whole table is read again.
         """
-        self._heard_at = _read_clock()
-        held: Evacuation | None = None
+        self._last_answered_at = _read_clock()
+        current: Evacuation | None = None
         while True:
             try:
-                if held is None:
-                    held = await self._read_all()
-                held = await self._await_change(held)
+                if current is None:
+                    current = await self._read_all()
+                current = await self._await_change(current)
             except Exception as error:  # noqa: BLE001
-                # Whatever it was: an entry whose watch has ended stays deaf.
-                self._note_failure(error)
-                held = None
+                # Catches every error: an entry whose watcher has ended would get no
+                # further configuration or evacuation from the store.
+                self._record_failure(error)
+                current = None
                 await self._store.wait_before_retry(error)
 
     async def _read_all(self) -> Evacuation:
@@ -76,53 +88,60 @@
         seconds = self._poll_limits.read_seconds
         read = page = await self._store.get_rows("/-/rows-get", query, seconds)
         while page.has_more and page.changes:
-            # Of several pages the first is the oldest; what has changed since is
-            # told again as a change.
+            # The first page is the oldest of several, and its version is kept: what
+            # has changed since then is reported again by the poll for changes.
             after = {**query, "from": page.changes[-1].key + NEXT_KEY_SUFFIX}
             page = await self._store.get_rows("/-/rows-get", after, seconds)
             read = read._replace(
                 rows=read.rows + page.rows, changes=read.changes + page.changes
             )
-        self._note_answer(read, whole=True)
+        self._record_answer(read, whole=True)
         return self._deliver(read, frozenset())
 
-    async def _await_change(self, held: Evacuation) -> Evacuation:
+    async def _await_change(self, current: Evacuation) -> Evacuation:
         wait = self._poll_limits.choose_wait(self._subscriber.count_entries())
         query = {
             "table": OPERATORS_TABLE,
-            "after": str(held.revision),
+            "after": str(current.revision),
             "wait-ms": str(int(wait * 1000)),
         }
         seconds = wait + self._poll_limits.answer_seconds
         read = await self._store.get_rows("/-/rows-feed", query, seconds)
-        self._note_answer(read, whole=False)
-        return self._deliver(read, held.zones)
+        self._record_answer(read, whole=False)
+        return self._deliver(read, current.zones)
+
+    def _record_answer(self, read: ReadResult, whole: bool) -> None:
+        """Record an answered poll.
 
-    def _note_answer(self, read: ReadResult, whole: bool) -> None:
-        """Note a look that was answered; log it if it told of anything."""
+        It is logged if it read the whole table or brought a change.
+        """
         self._counts.add("store_looks", "changed" if read.changes else "unchanged")
-        silence = self._measure_silence()
-        self._heard_at = _read_clock()
+        silence = self._measure_unanswered_seconds()
+        self._last_answered_at = _read_clock()
         self._failed = False
         if read.changes or whole:
             fields = {"revision": read.version, "whole": whole, "silence": silence}
             self._log.write("operators_read", "", fields)
 
-    def _note_failure(self, error: Exception) -> None:
-        """Note a look that failed; the first after one that was answered is logged."""
+    def _record_failure(self, error: Exception) -> None:
+        """Record a failed poll; log only the first one after an answered poll."""
         self._counts.add("store_looks", "failed")
         if not self._failed:
             self._failed = True
             reason = type(error).__name__
-            fields = {"error": reason, "silence": self._measure_silence()}
+            fields = {"error": reason, "silence": self._measure_unanswered_seconds()}
             self._log.write("operators_not_read", "", fields)
 
-    def _measure_silence(self) -> float:
-        """Tell for how many seconds no look has been answered."""
-        return round(_read_clock() - self._heard_at, 3)
+    def _measure_unanswered_seconds(self) -> float:
+        """Return the seconds since a poll was last answered."""
+        return round(_read_clock() - self._last_answered_at, 3)
 
     def _deliver(self, read: ReadResult, evacuated: frozenset[str]) -> Evacuation:
-        """Deliver what was read, what is evacuated before what lets jobs in."""
+        """Pass on what was read.
+
+        Evacuations come first, because a configuration lets the entry accept jobs, and
+        these must not be placed in an evacuated zone.
+        """
         zones = find_evacuated_zones(read.changes, evacuated)
         evacuation = Evacuation(zones, read.version)
         self._subscriber.evacuate(evacuation)
@@ -135,7 +154,7 @@
         try:
             configuration = decode_configuration(row.value)
         except msgspec.DecodeError as error:
-            # The one in force holds on until one comes that can be read.
+            # The configuration in force stays until a valid one is read.
             self._store.record_unusable_row(OPERATORS_TABLE, row.key, str(error))
             return
         self._subscriber.configure(configuration)
--- a/src/godwitbank/_internal/platform/programs.py
+++ b/src/godwitbank/_internal/platform/programs.py
@@ -1,4 +1,4 @@
-"""What both programs need to run on the platform."""
+"""Parts of the startup that the entry and the agent share."""
 
 import asyncio
 import signal
@@ -12,7 +12,7 @@
 from godwitbank._internal.platform.store import StoreClient
 
 if TYPE_CHECKING:
-    # Each program imports its own only.
+    # At run time each program imports only its own process class.
     from godwitbank._internal.operations.run_agent import RunAgentProcess
     from godwitbank._internal.operations.run_entry import RunEntryProcess
 
@@ -21,24 +21,25 @@
 STDOUT_FD = 1
 
 DISCOVERY_INTERVAL_SECONDS = 3.0
-"""Seconds between two looks whether any entry is reached. Those that come back at their
-addresses are dialled twice a second meanwhile; a read is paid for."""
+"""Interval of the checks whether any entry is connected. If none is, the addresses are
+read from the store again. The interval is long because each read has a cost, and
+because entries that return at a known address are dialled twice a second anyway."""
 
 
 def make_identity(settings: PlatformSettings) -> Identity:
-    """Choose a new incarnation."""
+    """Make the identity of this process, with a new random incarnation."""
     incarnation = uuid.uuid4().hex
     return Identity(settings.name, incarnation, settings.stream, settings.zone)
 
 
 def reload_settings_on_sighup(process: Process, log: DecisionLog) -> None:
-    """Read the settings again at a signal."""
+    """Read the settings again on each SIGHUP and add the seeds that they name."""
 
     def reload() -> None:
         try:
             settings = PlatformSettings.from_environment()
         except SettingsError as error:
-            # The old settings stay in force; a process must not die of a file.
+            # The old settings stay in force: an invalid file must not end the process.
             log.write("settings_rejected", "", {"error": error.message})
             return
         log.write("settings_reloaded", "", {"seeds": settings.seeds})
@@ -48,10 +49,10 @@
 
 
 async def discover_entries(store: StoreClient, process: Process) -> None:
-    """Learn from the store where entries are; again while none is reached.
+    """Read the entries' addresses from the store, and again while none is connected.
 
-    All entries may be replaced at other addresses while a process is cut off: nobody
-    is left then who could tell it of them.
+    While a process is cut off from the network, all entries may be replaced at other
+    addresses. Then no entry that it knows is left to announce the new ones.
     """
     while True:
         process.learn_entries(await store.read_entry_addresses())
--- a/src/godwitbank/_internal/platform/reports.py
+++ b/src/godwitbank/_internal/platform/reports.py
@@ -1,4 +1,4 @@
-"""What the endpoint reports to the agent on its VM."""
+"""HTTP interface for the reports of the endpoint on the agent's VM."""
 
 from typing import TYPE_CHECKING
 
@@ -17,17 +17,17 @@
 
 
 def make_reports_app(process: "RunAgentProcess") -> ASGIApp:
-    """Make the application that the endpoint reports to."""
+    """Make the ASGI application that receives the endpoint's reports."""
 
-    async def take(scope: Scope, receive: Receive, send: Send) -> None:
+    async def serve(scope: Scope, receive: Receive, send: Send) -> None:
         if scope["type"] == "http":
-            response = await _take(process, Request(scope, receive))
+            response = await _handle_report(process, Request(scope, receive))
             await response(scope, receive, send)
 
-    return take
+    return serve
 
 
-async def _take(process: "RunAgentProcess", request: Request) -> Response:
+async def _handle_report(process: "RunAgentProcess", request: Request) -> Response:
     instance = request.url.path.removeprefix(INSTANCE_PATH_PREFIX)
     if not instance or "/" in instance:
         return _respond({"error": "no such path"}, 404)
--- a/src/godwitbank/_internal/platform/rows.py
+++ b/src/godwitbank/_internal/platform/rows.py
@@ -1,7 +1,7 @@
-"""Rows of the platform's store, and what this project keeps in them.
+"""Decoding of the rows of the platform's store.
 
-Other writers may put rows beside ours. Each row is decoded by itself, so that one
-that can't be read leaves the others in force.
+Other writers may put rows into the same tables. Each row is decoded separately, so that
+a malformed one doesn't make the others unusable.
 """
 
 import base64
@@ -16,7 +16,7 @@
 MAX_PORT = 65535
 
 EVACUATION_PREFIX = "evacuate/"
-"""Start of the keys of rows that each ask for one zone to be emptied."""
+"""Prefix of the keys of evacuation rows; the availability zone's name follows it."""
 
 
 class _WireRow(msgspec.Struct):
@@ -34,14 +34,14 @@
 
 _row_decoder = msgspec.json.Decoder(_WireRow)
 _rows_decoder = msgspec.json.Decoder(_WireRows)
-_kept_decoder = msgspec.json.Decoder(EndpointReport)
+_stored_report_decoder = msgspec.json.Decoder(EndpointReport)
 
 
 class Row(NamedTuple):
-    """One row that is there.
+    """An existing row.
 
-    :param part: the part of the table that it stands in; empty where the platform's
-        own rows stand.
+    :param part: part of the table that holds the row; empty for the part of the
+        platform's own rows.
     """
 
     key: str
@@ -50,7 +50,7 @@
 
 
 class RowChange(NamedTuple):
-    """A row that is there or was removed, whether its value can be decoded or not."""
+    """A row that was written or removed, whether or not its value can be decoded."""
 
     key: str
     part: str
@@ -58,12 +58,13 @@
 
 
 class ReadResult(NamedTuple):
-    """What a read of rows returned.
+    """The result of one read of rows.
 
-    :param version: the store's newest version at that moment.
-    :param undecodable_count: rows that could not be decoded.
+    :param version: newest version of the store at the time of the read.
+    :param rows: existing rows that could be decoded.
+    :param undecodable_count: number of rows that could not be decoded.
     :param changes: all rows whose key could be decoded, in the store's order.
-    :param has_more: whether there are rows behind these.
+    :param has_more: whether more rows follow on another page.
     """
 
     version: int
@@ -74,9 +75,11 @@
 
 
 def decode_rows(body: bytes) -> ReadResult:
-    """Decode an answer with rows; those that were removed are left out.
+    """Decode the store's answer to a read.
 
-    :raises msgspec.DecodeError: when it isn't the store's answer at all.
+    Removed rows are among the changes only, not among the rows.
+
+    :raises msgspec.DecodeError: when the body as a whole has another format.
     """
     wire = decode_json(_rows_decoder, body)
     rows = []
@@ -101,9 +104,10 @@
 ) -> frozenset[str]:
     """Find the zones that are evacuated after some changes.
 
-    The row alone asks for it, whatever it holds.
+    A zone is evacuated as long as its row exists, whatever the row's value.
 
-    :param before: the zones that were evacuated before these changes.
+    :param changes: changes of rows, the oldest first.
+    :param before: zones that were evacuated before these changes.
     """
     zones = set(before)
     for change in changes:
@@ -118,7 +122,7 @@
 
 
 def decode_address(value: bytes) -> str | None:
-    """Decode ``host:port``; ``None`` if it is anything else."""
+    """Decode an address ``host:port``, or return ``None`` if the value is none."""
     try:
         text = value.decode("ascii")
     except UnicodeDecodeError:
@@ -130,9 +134,12 @@
 
 
 def decode_stored_report(value: bytes) -> EndpointReport | None:
-    """Decode a report that an agent has kept; ``None`` if it is anything else."""
+    """Decode a report that an agent has stored.
+
+    :return: the report, or ``None`` if the value is no valid one.
+    """
     try:
-        report = decode_json(_kept_decoder, value)
+        report = decode_json(_stored_report_decoder, value)
     except (msgspec.DecodeError, ValueError):
         return None
     if not report.instance or not report.service or min(report.capacity) < 0:
--- a/src/godwitbank/_internal/platform/settings.py
+++ b/src/godwitbank/_internal/platform/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform writes for each process."""
+"""Settings file that the platform writes for each process."""
 
 import math
 import os
@@ -12,22 +12,26 @@
 """Environment variable with the path of the settings file."""
 
 METRICS_PORT = 9464
-"""Port of metrics and status, the same as in ``deploy/system.toml``."""
+"""Port for metrics and status; must match ``deploy/system.toml``."""
 
 
 class PlatformSettings(NamedTuple):
-    """What a process is told by the platform.
+    """Settings of one process, as given by the platform.
 
     :param name: name of the VM.
+    :param zone: availability zone of the VM.
+    :param ip: address of the VM.
     :param listen_callers: ``host:port`` for callers; entries only.
-    :param listen_ready: ``host:port`` the balancer asks; entries only.
-    :param listen_control: ``host:port`` for the endpoint on an agent's VM; on
-        entries only served so that the platform names them as seeds.
-    :param stream: ``host:port`` for streams between the system's processes.
-    :param seeds: stream addresses of some entries, perhaps stale.
+    :param listen_ready: ``host:port`` for the load balancer's readiness checks;
+        entries only.
+    :param listen_control: ``host:port`` for reports of the endpoint on an agent's VM.
+        Entries serve it too, only because the platform otherwise doesn't list them
+        as seeds.
+    :param stream: ``host:port`` for streams between entries and agents.
+    :param seeds: stream addresses of some entries; they may be out of date.
     :param store: ``host:port`` of the platform's store.
-    :param endpoint: ``host:port`` of the endpoint's calls; agents only.
-    :param deployment: what the platform tells of its endpoints.
+    :param endpoint: ``host:port`` of the endpoint's HTTP interface; agents only.
+    :param deployment: limits and intervals of this deployment.
     """
 
     name: str
@@ -44,9 +48,9 @@
 
     @classmethod
     def from_environment(cls) -> "PlatformSettings":
-        """Read the file that the environment names.
+        """Read the file named by the environment variable ``SETTINGS_VARIABLE``.
 
-        :raises SettingsError: naming the field and the remedy.
+        :raises SettingsError: if the file can't be read or a setting is invalid.
         """
         path = os.environ.get(SETTINGS_VARIABLE, "")
         try:
@@ -61,9 +65,9 @@
 
     @classmethod
     def from_text(cls, text: str) -> "PlatformSettings":
-        """Decode lines of ``name=value``; unknown names are ignored.
+        """Parse lines of ``name=value``; unknown names are ignored.
 
-        :raises SettingsError: naming the field and the remedy.
+        :raises SettingsError: if a setting is missing or invalid.
         """
         values = dict(
             line.strip().split("=", 1) for line in text.splitlines() if "=" in line
@@ -72,7 +76,7 @@
         port = _require(values, "port-range").split(",")[0]
         if not port.isdigit():
             raise SettingsError(
-                f"port-range is wrong: {values['port-range']!r}",
+                f"port-range is invalid: {values['port-range']!r}",
                 context="setting 'port-range'",
                 remedy="give two port numbers joined by a comma",
             )
@@ -85,7 +89,8 @@
             values.get("listen.ready", ""),
             values.get("listen.control", ""),
             f"{ip}:{port}",
-            # A seed names another port of the same VM.
+            # A seed gives another port of the entry's VM; streams use the first port
+            # of the range on every VM.
             tuple(f"{seed.rpartition(':')[0]}:{port}" for seed in seeds),
             _require(values, "platform.address"),
             values.get("app", ""),
@@ -125,23 +130,23 @@
     return value
 
 
-def _read_seconds(values: dict[str, str], key: str, usual: float) -> float:
-    """Read milliseconds as seconds."""
-    return _read_number(values, key, usual * 1000) / 1000
+def _read_seconds(values: dict[str, str], key: str, default: float) -> float:
+    """Read a setting in milliseconds and convert it to seconds."""
+    return _read_number(values, key, default * 1000) / 1000
 
 
-def _read_number(values: dict[str, str], key: str, usual: float) -> float:
-    """Read a number above zero, or what is usual where the platform tells none."""
+def _read_number(values: dict[str, str], key: str, default: float) -> float:
+    """Read a number greater than zero, or return the default if it isn't set."""
     text = values.get(key, "")
     if not text:
-        return usual
+        return default
     try:
         number = float(text)
     except ValueError:
         number = 0.0
     if not 0 < number < math.inf:
         raise SettingsError(
-            f"{key} is wrong: {text!r}",
+            f"{key} is invalid: {text!r}",
             context=f"setting {key!r}",
             remedy="give a number above zero",
         )
--- a/src/godwitbank/_internal/platform/store.py
+++ b/src/godwitbank/_internal/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's store: calls, and what this project keeps there."""
+"""Client of the platform's store, and the tables that this project keeps there."""
 
 import asyncio
 import base64
@@ -18,41 +18,47 @@
 )
 
 CALL_TIMEOUT_SECONDS = 1.5
-"""Longest wait for the store's answer; it answers in some milliseconds."""
+"""Timeout of a short call; the store normally answers within milliseconds."""
 
 RETRY_DELAY_SECONDS = 0.3
-"""Pause after a call that failed."""
+"""Delay after a failed call."""
 
 MAX_LOGGED_ROWS = 100
-"""Rows that can't be used which are logged; all are counted."""
+"""Most unusable rows that are logged; all of them are counted."""
 
 REPORTS_TABLE = "reports"
-"""Our table of the endpoints' last reports, one row a VM."""
+"""Table of the endpoints' last reports, with one row for each VM."""
 
 ENTRIES_TABLE = "entries"
-"""Our table of the entries' stream addresses, one row a VM."""
+"""Table of the entries' stream addresses, with one row for each VM."""
 
 
 class StoreClient:
-    """Reads rows, and keeps ours."""
+    """Reads rows from the store, and writes those of this VM.
+
+    :param calls: sends the HTTP requests.
+    :param name: name of this VM, the key of its rows.
+    :param log: receives unusable rows, failed calls and recoveries.
+    :param counts: receives the number of unusable rows.
+    """
 
     def __init__(
         self, calls: StoreHttpClient, name: str, log: DecisionLog, counts: Counts
     ) -> None:
         self._name = name
         self._counts = counts
-        self._unusable: set[tuple[str, str]] = set()
+        self._logged_rows: set[tuple[str, str]] = set()
         self._log = log
-        self._lost = False
+        self._is_failing = False
         self._calls = calls
 
     def record_unusable_row(self, table: str, key: str, reason: str) -> None:
-        """Count a row that can't be used, and log it once."""
+        """Count an unusable row, and log it the first time."""
         self._counts.add("rows_unusable", table)
-        if (table, key) in self._unusable:
+        if (table, key) in self._logged_rows:
             return
-        if len(self._unusable) < MAX_LOGGED_ROWS:
-            self._unusable.add((table, key))
+        if len(self._logged_rows) < MAX_LOGGED_ROWS:
+            self._logged_rows.add((table, key))
             fields = {"table": table, "key": key, "reason": reason}
             self._log.write("row_unusable", "", fields)
 
@@ -61,11 +67,14 @@
     ) -> ReadResult:
         """Read rows of one table.
 
+        :param path: path of the call, one that returns rows.
+        :param query: parameters of the call, ``table`` among them.
+        :param timeout_seconds: longest wait for the answer.
         :raises UnreachableError, NoAnswerError, RefusedCallError: see ``CALL_ERRORS``.
-        :raises msgspec.DecodeError: when the answer is no answer about rows.
+        :raises msgspec.DecodeError: when the answer has another format.
         """
         content = await self._calls.read(path, query, timeout_seconds)
-        self._regain()
+        self._mark_connected()
         read = decode_rows(content)
         if read.undecodable_count:
             self.record_unusable_row(
@@ -74,32 +83,38 @@
         return read
 
     async def register_entry(self, address: str) -> None:
-        """Write where this entry's streams are, until it succeeds."""
+        """Write this entry's stream address, retrying until it succeeds."""
         while True:
             try:
-                await self._put(ENTRIES_TABLE, address.encode())
+                await self._write_row(ENTRIES_TABLE, address.encode())
                 return
             except CALL_ERRORS as error:
                 await self.wait_before_retry(error)
 
-    async def _put(self, table: str, value: bytes) -> None:
-        """Write this VM's row of a table, whatever stood there."""
+    async def _write_row(self, table: str, value: bytes) -> None:
+        """Write this VM's row of a table, overwriting any earlier value."""
         text = base64.b64encode(value).decode()
         row = {"table": table, "part": "", "key": self._name, "value": text}
         body = msgspec.json.encode({"expect-rev": [], "puts": [row], "remove": []})
         await self._calls.write("/-/rows-tx", body, CALL_TIMEOUT_SECONDS)
-        self._regain()
+        self._mark_connected()
 
     async def store_report(self, report: EndpointReport) -> None:
-        """Keep the endpoint's report; tried once, as the next may differ."""
+        """Store the endpoint's report.
+
+        A failed write isn't repeated, because the next report may differ.
+        """
         try:
-            await self._put(REPORTS_TABLE, msgspec.json.encode(report))
+            await self._write_row(REPORTS_TABLE, msgspec.json.encode(report))
         except CALL_ERRORS as error:
             fields = {"error": type(error).__name__}
             self._log.write("report_not_kept", "", fields)
 
     async def read_stored_report(self) -> EndpointReport | None:
-        """Find the report kept last on this VM; ``None`` if that fails."""
+        """Read the report that was last stored for this VM.
+
+        :return: the report, or ``None`` if there is none or it can't be read.
+        """
         query = {
             "table": REPORTS_TABLE,
             "part": "",
@@ -123,7 +138,7 @@
         return report
 
     async def read_entry_addresses(self) -> tuple[str, ...]:
-        """Read where entries are, until it succeeds."""
+        """Read the entries' stream addresses, retrying until it succeeds."""
         query = {"table": ENTRIES_TABLE, "part": ""}
         while True:
             try:
@@ -143,17 +158,17 @@
         return tuple(addresses)
 
     async def wait_before_retry(self, error: Exception) -> None:
-        """Wait before the next call after one that failed."""
-        if not self._lost:
-            self._lost = True
+        """Wait before the next call; log the failure if it is the first in a row."""
+        if not self._is_failing:
+            self._is_failing = True
             self._log.write("store_lost", "", {"error": type(error).__name__})
         await asyncio.sleep(RETRY_DELAY_SECONDS)
 
-    def _regain(self) -> None:
-        if self._lost:
-            self._lost = False
+    def _mark_connected(self) -> None:
+        if self._is_failing:
+            self._is_failing = False
             self._log.write("store_regained", "", {})
 
     def close(self) -> None:
-        """Close connections."""
+        """Close all connections."""
         self._calls.close()
