--- a/src/godwitbank/_internal/platform/bodies.py
+++ b/src/godwitbank/_internal/platform/bodies.py
@@ -59,7 +59,7 @@
     spec: str = ""
     steps: list[_Step] = []
     best_effort: bool = False
-    # Number of repetitions; 0 for a job that runs once.
+    # Number of occurrences; 0 for a job that runs once.
     times: int = 0
 
 
@@ -95,9 +95,9 @@
 
 
 class _Report(_WireStruct):
-    # No defaults for the fields that identify an endpoint: a body in which they are
-    # missing or have another type comes from a foreign writer, and defaults would
-    # register an endpoint that doesn't exist.
+    # Fields without a default must be present and valid. A body that violates this
+    # comes from a foreign writer; defaults would register an endpoint that doesn't
+    # exist.
     service: Annotated[str, msgspec.Meta(min_length=1)]
     address: str
     state: Literal["ready", "draining"]
--- a/tests/cli/__init__.py
+++ b/tests/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the command line's frame."""
+"""Tests of the command-line framework."""
--- a/tests/cli/test_entrypoints.py
+++ b/tests/cli/test_entrypoints.py
@@ -1,4 +1,4 @@
-"""What the programs do before they are imported whole."""
+"""Startup of the programs while their modules are imported."""
 
 import socket
 import sys
@@ -12,14 +12,14 @@
 from godwitbank._internal.cli import entrypoints
 from godwitbank._internal.platform.settings import SETTINGS_VARIABLE
 
-PROGRAM = "godwitbank._internal.platform.agent_program"
+AGENT_MODULE = "godwitbank._internal.platform.agent_program"
 
 
-class _SlowProgram(ModuleType):
-    """The agent's program, while whose import an endpoint reports."""
+class _ReportingModule(ModuleType):
+    """Stand-in for the agent's module; an endpoint reports while it is imported."""
 
     def __init__(self, report: Callable[[], None]) -> None:
-        super().__init__(PROGRAM)
+        super().__init__(AGENT_MODULE)
         self._report = report
 
     def __getattr__(self, name: str) -> Callable[[], None]:
@@ -32,9 +32,9 @@
 def test_an_endpoint_may_report_while_its_agent_is_imported(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # Symptom: endpoints stay unused for more than a second after their VMs came back.
-    # Sequence: a VM boots; its endpoint reports at once; its agent still imports its
-    # modules; the next report comes 1.5 s later. Cause: nobody listened yet.
+    # Endpoints stayed unused for more than a second after their VMs had rebooted: an
+    # endpoint reports at once, when its agent still imports modules and didn't listen
+    # yet, and the next report comes 1.5 s later.
     port = pick_port()
     lines = ["node=a", "zone=z", "ip=127.0.0.1", "port-range=1,2"]
     lines += ["platform.address=127.0.0.1:3", f"listen.control=127.0.0.1:{port}"]
@@ -47,7 +47,7 @@
         with socket.create_connection(("127.0.0.1", port)) as connection:
             reports.append(connection.getpeername()[1])
 
-    monkeypatch.setitem(sys.modules, PROGRAM, _SlowProgram(report))
+    monkeypatch.setitem(sys.modules, AGENT_MODULE, _ReportingModule(report))
     serve = entrypoints._import_program(["agent"], "")
     assert reports == [port]
     serve.args[1].close()  # type: ignore[attr-defined]
--- a/tests/platform/__init__.py
+++ b/tests/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the adapter, and of the programs as the platform starts them."""
+"""Tests of the platform adapter, and of the processes as the platform starts them."""
--- a/tests/platform/conftest.py
+++ b/tests/platform/conftest.py
@@ -1,4 +1,4 @@
-"""What tests with real processes on the platform share."""
+"""Fixtures of the tests that run real processes on the platform stand-ins."""
 
 from collections.abc import Iterator
 from pathlib import Path
@@ -9,9 +9,9 @@
 
 @pytest.fixture
 def platform(tmp_path: Path) -> Iterator[PlatformFleet]:
-    """Start a store; end everything whatever happens."""
-    started = PlatformFleet(tmp_path / "platform")
+    """Start a store, and stop all processes after the test."""
+    fleet = PlatformFleet(tmp_path / "platform")
     try:
-        yield started
+        yield fleet
     finally:
-        started.stop()
+        fleet.stop()
--- a/tests/platform/test_bodies.py
+++ b/tests/platform/test_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies on the wire become the product's types, or are refused."""
+"""Decoding of request and answer bodies."""
 
 import json
 
@@ -55,13 +55,13 @@
         ({"spec": 7}, "spec"),
     ],
 )
-def test_what_can_not_be_run_is_refused_and_says_why(changes: dict, word: str) -> None:
+def test_unsupported_jobs_are_refused_with_a_reason(changes: dict, word: str) -> None:
     decoded = decode_job("1" * 16, "q", make_job(**changes))
     assert not isinstance(decoded, Success)
     assert word in decoded.failure()
 
 
-def test_a_configuration_ignores_fields_that_may_come() -> None:
+def test_a_configuration_with_unknown_fields_is_decoded() -> None:
     route = {
         "name": "r",
         "host": "h",
@@ -93,7 +93,7 @@
     assert report.capacity == Resources(16000, 64, 0)
 
 
-def test_lists_take_rows_with_and_without_the_fifth_figure() -> None:
+def test_run_lists_accept_rows_with_and_without_a_fifth_element() -> None:
     body = {
         "clock-ms": 9,
         "running": [["t", 1, "", 41], ["u", 2, "c", 7, 1600]],
@@ -106,6 +106,6 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"no json", b"[]"])
-def test_an_answer_without_a_body_says_nothing(body: bytes) -> None:
+def test_an_empty_or_malformed_answer_has_no_clock_and_reason(body: bytes) -> None:
     answer = decode_order_answer(body)
     assert (answer.clock, answer.reason) == (None, "")
--- a/tests/platform/test_boundary.py
+++ b/tests/platform/test_boundary.py
@@ -1,4 +1,4 @@
-"""The adapter is the only place that knows the platform's names."""
+"""The adapter is the only package that uses the platform's names."""
 
 import ast
 import re
@@ -12,10 +12,10 @@
     r"|deadline-ms|clock-ms|best-effort|target-latency-ms|mem-mb|port-range|listen\."
     r"|heartbeat-ms|hold-max|far-factor|cold-left|evacuate/"
 )
-PROGRAMS = "cli/entrypoints.py"
+ENTRYPOINTS = "cli/entrypoints.py"
 
 
-def _list_outside() -> list[Path]:
+def _list_files_outside_adapter() -> list[Path]:
     return [
         path
         for path in sorted(ROOT.rglob("*.py"))
@@ -23,20 +23,20 @@
     ]
 
 
-def test_no_wire_name_stands_outside_the_adapter() -> None:
+def test_wire_names_are_used_in_the_adapter_only() -> None:
     found = {
         f"{path.relative_to(ROOT)}: {match.group()}"
-        for path in _list_outside()
+        for path in _list_files_outside_adapter()
         for match in WIRE_NAMES.finditer(path.read_text())
     }
     assert not found
 
 
-def test_only_the_programs_import_the_adapter() -> None:
+def test_only_the_entrypoints_import_the_adapter() -> None:
     importers = set()
-    for path in _list_outside():
+    for path in _list_files_outside_adapter():
         for node in ast.walk(ast.parse(path.read_text())):
             name = getattr(node, "module", None) or ""
             if name.startswith("godwitbank._internal.platform"):
                 importers.add(str(path.relative_to(ROOT)))
-    assert importers <= {PROGRAMS}
+    assert importers <= {ENTRYPOINTS}
--- a/tests/platform/test_callers.py
+++ b/tests/platform/test_callers.py
@@ -1,4 +1,4 @@
-"""What callers are told, without the network."""
+"""Answers to callers, tested without a network."""
 
 import asyncio
 from types import SimpleNamespace
@@ -12,7 +12,10 @@
 
 
 def make_shedding_process(shed: list[str]) -> Any:
-    """Make the part of an entry that refuses requests unread."""
+    """Make a stand-in for an entry that sheds load.
+
+    :param shed: receives the ids of the refused jobs.
+    """
 
     def refuse(job: str) -> JobResult:
         shed.append(job)
@@ -22,15 +25,15 @@
     return SimpleNamespace(core=core, shed=refuse)
 
 
-def test_a_request_is_refused_unread_with_when_to_come_back() -> None:
-    # Symptom: callers of a late entry wait until their time is over. Cause: a refusal
-    # took nearly as long as a job, as the request was read, routed and decoded first.
+def test_a_request_is_refused_unread_with_retry_after() -> None:
+    # Callers of an overloaded entry waited until their timeouts expired: a refusal took
+    # nearly as long as a job, because the request was read, routed and decoded first.
     shed: list[str] = []
     app = make_callers_app(make_shedding_process(shed))
     sent: list[dict[str, Any]] = []
 
     async def receive() -> dict[str, Any]:
-        raise AssertionError("the request was read")
+        raise AssertionError("the request's body was read")
 
     async def send(message: dict[str, Any]) -> None:
         sent.append(message)
--- a/tests/platform/test_evacuation.py
+++ b/tests/platform/test_evacuation.py
@@ -1,4 +1,4 @@
-"""The operators empty an availability zone: rows, and real processes."""
+"""Evacuation of an availability zone: its rows, and real processes."""
 
 import base64
 import json
@@ -22,7 +22,7 @@
     return json.dumps({"ver": 9, "rows": rows}).encode()
 
 
-def test_a_row_evacuates_its_zone_whatever_it_holds() -> None:
+def test_a_row_evacuates_its_zone_whatever_its_value() -> None:
     rows = [
         {"key": "evacuate/zone-1", "value": base64.b64encode(b"{}").decode()},
         {"key": "evacuate/zone-2", "value": "%%"},
@@ -32,7 +32,7 @@
     assert find_evacuated_zones(read.changes, ()) == {"zone-1", "zone-2", "zone-3"}
 
 
-def test_the_last_of_several_changes_is_in_force() -> None:
+def test_the_last_of_several_changes_of_a_zone_counts() -> None:
     rows = [
         {"key": "evacuate/zone-1", "value": ""},
         {"key": "evacuate/zone-2", "removed": True},
@@ -57,20 +57,20 @@
 
 @pytest.fixture
 def platform(tmp_path: Path) -> Iterator[PlatformFleet]:
-    """Start a store; end everything whatever happens."""
-    started = PlatformFleet(tmp_path / "platform")
-    started.zones = {"agent-0": "zone-1", "agent-1": "zone-2", "entry-1": "zone-2"}
+    """Start a store, and stop all processes after the test."""
+    fleet = PlatformFleet(tmp_path / "platform")
+    fleet.zones = {"agent-0": "zone-1", "agent-1": "zone-2", "entry-1": "zone-2"}
     try:
-        yield started
+        yield fleet
     finally:
-        started.stop()
+        fleet.stop()
 
 
 def _count_started(platform: PlatformFleet, agent: str) -> int:
     return len(platform.see_endpoint(agent)["started"])
 
 
-def _wait_evacuated(platform: PlatformFleet, agent: str, evacuated: bool) -> None:
+def _wait_for_evacuated(platform: PlatformFleet, agent: str, evacuated: bool) -> None:
     wait_for(
         lambda: platform.see_status(agent)["evacuated"] == evacuated,
         f"evacuated: {evacuated} at {agent}",
@@ -78,21 +78,21 @@
 
 
 @pytest.mark.processes
-def test_processes_empty_a_zone_and_take_it_back(platform: PlatformFleet) -> None:
+def test_a_zone_is_evacuated_and_used_again(platform: PlatformFleet) -> None:
     platform.start(entries=2, agents=2)
     platform.evacuate("zone-1")
-    _wait_evacuated(platform, "agent-0", True)
+    _wait_for_evacuated(platform, "agent-0", True)
     before = _count_started(platform, "agent-0")
     for number in range(6):
         answer = platform.submit(f"entry-{number % 2}", f"{JOB}000{number}", width=4)
         assert answer.json() == {"state": "completed"}
     assert _count_started(platform, "agent-0") == before
     platform.evacuate("zone-2")
-    _wait_evacuated(platform, "agent-1", True)
+    _wait_for_evacuated(platform, "agent-1", True)
     answer = platform.submit("entry-1", f"{JOB}0010")
     assert (answer.status_code, "retry-after" in answer.headers) == (503, True)
     platform.take_back("zone-1")
-    _wait_evacuated(platform, "agent-0", False)
+    _wait_for_evacuated(platform, "agent-0", False)
     wait_for(
         lambda: platform.submit("entry-0", f"{JOB}0011").status_code == 200,
         "a job served in the zone that was taken back",
@@ -101,15 +101,15 @@
 
 
 @pytest.mark.processes
-def test_a_new_process_without_the_store_knows_before_its_first_order(
+def test_a_new_process_learns_of_evacuations_without_the_store(
     platform: PlatformFleet,
 ) -> None:
     platform.start(entries=2, agents=2)
     platform.evacuate("zone-1")
-    _wait_evacuated(platform, "agent-0", True)
+    _wait_for_evacuated(platform, "agent-0", True)
     before = _count_started(platform, "agent-0")
-    away = [platform.find_ip("entry-1"), platform.find_ip("agent-0")]
-    platform.set_store(turned_away=away)
+    refused_ips = [platform.find_ip("entry-1"), platform.find_ip("agent-0")]
+    platform.set_store(turned_away=refused_ips)
     for name in ("entry-1", "agent-0"):
         platform.kill(name)
     platform.start_entry("entry-1")
@@ -123,9 +123,11 @@
 
 
 @pytest.mark.processes
-def test_a_history_that_was_lost_hides_no_evacuation(platform: PlatformFleet) -> None:
+def test_an_evacuation_is_seen_after_the_store_lost_its_change_history(
+    platform: PlatformFleet,
+) -> None:
     platform.start(entries=1, agents=2)
     platform.set_store(turned_away=["all"])
     platform.evacuate("zone-1")
     platform.set_store(oldest=0, turned_away=[])
-    _wait_evacuated(platform, "agent-0", True)
+    _wait_for_evacuated(platform, "agent-0", True)
--- a/tests/platform/test_foreign_writers.py
+++ b/tests/platform/test_foreign_writers.py
@@ -1,4 +1,4 @@
-"""What other writers leave at the store or send as reports harms nobody else."""
+"""Malformed rows and reports of other writers do no harm."""
 
 import base64
 import json
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("field", ["service", "address", "state", "capacity", "seq"])
-def test_a_report_with_a_field_missing_names_no_endpoint(field: str) -> None:
+def test_a_report_with_a_missing_field_is_refused(field: str) -> None:
     body = {name: value for name, value in REPORT.items() if name != field}
     with pytest.raises(msgspec.DecodeError):
         decode_report("i-1", _encode(body))
@@ -74,12 +74,12 @@
         {"clock-ms": "soon"},
     ],
 )
-def test_a_report_with_a_value_that_is_no_such_thing_names_no_endpoint(
+def test_a_report_with_an_invalid_value_is_refused(
     changes: dict,
 ) -> None:
-    # Symptom: runs go to an endpoint that isn't there. Sequence: another writer
-    # reports a state or a type that the platform doesn't define. Cause: whatever
-    # wasn't "draining" counted as ready, and what was missing as zero.
+    # Runs went to an endpoint that doesn't exist, after another writer had reported a
+    # state or a type that the platform doesn't define: every state but "draining"
+    # counted as ready, and missing fields as zero.
     with pytest.raises(msgspec.DecodeError):
         decode_report("i-1", _encode({**REPORT, **changes}))
 
@@ -97,12 +97,12 @@
         assert min(report.capacity) >= 0
 
 
-def test_rows_that_can_not_be_read_leave_the_others_in_force() -> None:
-    # Symptom: a new process finds no peers. Sequence: another writer puts a row
-    # into the table of entries; reading fails, and is tried again for ever. Cause:
-    # all rows were decoded as one.
-    strange = [{"key": 7}, {"value": "%%"}, None, {"key": "x", "value": 3}, []]
-    body = _encode({"ver": 9, "rows": [*strange, ROW, {"key": "y", "removed": True}]})
+def test_malformed_rows_do_not_affect_the_others() -> None:
+    # A new process found no peers, because another writer had put a row into the table
+    # of entries: all rows were decoded as one, so that each read failed and was
+    # retried forever.
+    malformed = [{"key": 7}, {"value": "%%"}, None, {"key": "x", "value": 3}, []]
+    body = _encode({"ver": 9, "rows": [*malformed, ROW, {"key": "y", "removed": True}]})
     read = decode_rows(body)
     assert read.version == 9
     assert [(row.key, row.value) for row in read.rows] == [
@@ -112,7 +112,7 @@
 
 
 @given(st.lists(json_values, max_size=4))
-def test_any_rows_are_read_or_counted(rows: list) -> None:
+def test_any_rows_are_decoded_or_counted(rows: list) -> None:
     read = decode_rows(_encode({"ver": 1, "rows": [*rows, ROW]}))
     assert read.rows[-1].key == "entry-0"
 
@@ -120,15 +120,15 @@
 @pytest.mark.parametrize(
     "value", [b"", b"\xff\xfe", b"no port", b"host:", b":7720", b"h:0", b"h:99999"]
 )
-def test_what_is_no_address_names_no_entry(value: bytes) -> None:
+def test_an_invalid_address_is_refused(value: bytes) -> None:
     assert decode_address(value) is None
 
 
-def test_an_address_is_read() -> None:
+def test_a_valid_address_is_decoded() -> None:
     assert decode_address(b"10.0.0.1:7720") == "10.0.0.1:7720"
 
 
-def test_a_kept_report_comes_back_as_it_was() -> None:
+def test_a_stored_report_is_decoded_unchanged() -> None:
     report = EndpointReport(
         "i-1", "desk", Resources(16000, 64, 0), ("a",), False, 5, 4, "h:1"
     )
@@ -136,10 +136,10 @@
 
 
 @given(json_values, st.binary(max_size=40))
-def test_any_kept_report_is_read_or_passed_over(value: object, raw: bytes) -> None:
+def test_any_stored_report_is_decoded_or_skipped(value: object, raw: bytes) -> None:
     for body in (_encode(value), raw):
-        kept = decode_stored_report(body)
-        assert kept is None or min(kept.capacity) >= 0
+        stored = decode_stored_report(body)
+        assert stored is None or min(stored.capacity) >= 0
 
 
 @pytest.mark.parametrize(
@@ -153,16 +153,16 @@
         {"ended": [None]},
     ],
 )
-def test_lists_of_another_shape_are_refused_as_a_whole(lists: dict) -> None:
-    # Symptom: an endpoint's lease is never renewed again and all its runs lapse.
-    # Sequence: a row of the answer is too short. Cause: the error was none that
-    # the caller of the decoder knew, so the renewal stayed under way for ever.
+def test_malformed_run_lists_are_refused_as_a_whole(lists: dict) -> None:
+    # An endpoint's lease was never renewed again, and all its runs lapsed, after an
+    # answer with a row that was too short: the decoder raised an error that its caller
+    # didn't handle, so the renewal never completed.
     with pytest.raises(msgspec.DecodeError):
         decode_run_lists(_encode({"clock-ms": 1, **lists}))
 
 
 @given(st.sampled_from(["running", "ended"]), json_values, st.binary(max_size=40))
-def test_any_lists_are_decoded_or_refused(
+def test_any_run_lists_are_decoded_or_refused(
     field: str, value: object, raw: bytes
 ) -> None:
     for body in (_encode({"clock-ms": 1, field: value}), raw):
@@ -172,8 +172,8 @@
             continue
 
 
-DEEP = b'{"x":' + b"[" * 100_000
-"""JSON that is nested deeper than any decoder goes."""
+TOO_DEEP_JSON = b'{"x":' + b"[" * 100_000
+"""JSON that is nested more deeply than decoders support."""
 
 
 @pytest.mark.parametrize(
@@ -185,13 +185,13 @@
         partial(decode_report, "i-1"),
     ],
 )
-def test_what_is_nested_too_deeply_is_refused_like_other_bytes(
+def test_too_deeply_nested_json_is_a_decode_error(
     decode: Callable[[bytes], object],
 ) -> None:
     with pytest.raises(msgspec.DecodeError):
-        decode(DEEP)
+        decode(TOO_DEEP_JSON)
 
 
-def test_a_job_that_is_nested_too_deeply_is_refused() -> None:
-    decoded = decode_job("0" * 16, "checks", DEEP)
+def test_a_too_deeply_nested_job_is_refused() -> None:
+    decoded = decode_job("0" * 16, "checks", TOO_DEEP_JSON)
     assert isinstance(decoded, Failure)
--- a/tests/platform/test_operators.py
+++ b/tests/platform/test_operators.py
@@ -1,4 +1,4 @@
-"""What the operators want reaches entries whatever becomes of their connections."""
+"""Changes of the operators reach entries although their connections fail."""
 
 from pathlib import Path
 
@@ -7,8 +7,9 @@
 from standins.fleet import wait_for
 from standins.platform_fleet import ROUTE
 
-HEARD_WITHIN = 10.0
-"""Seconds a test waits for a change; the users' bound is checked in one clock."""
+CHANGE_TIMEOUT_SECONDS = 10.0
+"""Longest wait for a change in this test. The users' bound is checked in virtual time
+instead, with one clock for everything."""
 
 
 def _read_version(fleet: SoakFleet, entry: str) -> int:
@@ -17,23 +18,23 @@
     return version
 
 
-def _wait_version(fleet: SoakFleet, version: int) -> None:
+def _wait_for_version(fleet: SoakFleet, version: int) -> None:
     def is_in_force() -> bool:
         return {_read_version(fleet, name) for name in fleet.entries} == {version}
 
-    wait_for(is_in_force, f"version {version} at all entries", HEARD_WITHIN)
+    wait_for(is_in_force, f"version {version} at all entries", CHANGE_TIMEOUT_SECONDS)
 
 
 @pytest.mark.processes
-def test_a_change_is_heard_after_all_connections_to_the_store_fell_silent(
+def test_a_change_is_received_after_all_store_connections_went_silent(
     tmp_path: Path,
 ) -> None:
     fleet = SoakFleet(tmp_path / "silent", entries=2, agents=1)
     try:
-        _wait_version(fleet, 1)
+        _wait_for_version(fleet, 1)
         for name in fleet.entries:
             fleet.command(name, "store", freeze="both")
         fleet.write_routes(2, [ROUTE])
-        _wait_version(fleet, 2)
+        _wait_for_version(fleet, 2)
     finally:
         fleet.stop()
--- a/tests/platform/test_programs.py
+++ b/tests/platform/test_programs.py
@@ -1,4 +1,4 @@
-"""The programs as separate processes against stand-ins that speak the platform."""
+"""The programs as separate processes, with stand-ins for the platform."""
 
 import signal
 import subprocess
@@ -24,7 +24,9 @@
     assert max(each["most_at_once"] for each in seen) <= CORES
 
 
-def test_what_can_not_be_understood_is_refused_clearly(platform: PlatformFleet) -> None:
+def test_invalid_requests_are_refused_with_their_status(
+    platform: PlatformFleet,
+) -> None:
     platform.start(entries=1, agents=1)
     cases = [
         ("/checks/zz", make_body(1, 0.1), 400),
@@ -44,12 +46,11 @@
     assert platform.see_endpoint("agent-0")["started"] == []
 
 
-def test_configuration_is_in_force_everywhere_though_the_store_is_partly_down(
+def test_configuration_reaches_an_entry_that_the_store_refuses(
     platform: PlatformFleet,
 ) -> None:
-    # Symptom: an entry serves what the operators have removed. Sequence: the
-    # store turns one entry away while the configuration changes. Cause: that
-    # entry heard of changes from the store alone.
+    # An entry served queues that the operators had removed: the store refused its calls
+    # while the configuration changed, and it received changes only from the store.
     platform.start(entries=2, agents=1)
     platform.set_store(turned_away=[platform.find_ip("entry-1")])
     moved = {**ROUTE, "prefix": "/moved/"}
@@ -80,9 +81,9 @@
 
 
 def test_a_lost_start_order_does_not_lose_the_job(platform: PlatformFleet) -> None:
-    # Symptom: a job never ends. Sequence: the endpoint's answer to an order is
-    # lost. Cause: the agent waited for it. It must make sure instead that the
-    # order is void before it gives the order again.
+    # A job never ended, because the endpoint's answer to a start order was lost and the
+    # agent waited for it. Instead the agent must make sure that the order can no longer
+    # take effect, and then repeat it.
     platform.start(entries=1, agents=1)
     platform.set_endpoint("agent-0", lose_starts=1)
     answer = platform.submit("entry-0", f"{JOB}01", width=2)
@@ -93,7 +94,8 @@
 def test_a_killed_agent_is_replaced_and_the_job_goes_on(
     platform: PlatformFleet,
 ) -> None:
-    # Symptom: a job hangs or an endpoint is overfull after its agent was killed.
+    # Guards against a job that hangs, and an endpoint with more runs than it has
+    # capacity for, after the agent was killed.
     platform.start(entries=1, agents=1)
     with ThreadPoolExecutor() as pool:
         work = pool.submit(platform.submit, "entry-0", f"{JOB}01", CORES, 1.0)
@@ -105,7 +107,8 @@
 
 
 def test_runs_of_a_killed_entry_are_stopped(platform: PlatformFleet) -> None:
-    # Symptom: a task runs twice: its entry died, its caller went to another.
+    # Guards against a task that runs twice because its entry died and the caller
+    # submitted the job to another one.
     platform.start(entries=2, agents=1)
     with ThreadPoolExecutor() as pool:
         work = pool.submit(platform.submit, "entry-0", f"{JOB}01", 1, 20.0)
@@ -115,8 +118,8 @@
     wait_for(lambda: not platform.see_endpoint("agent-0")["alive"], "end of the run")
 
 
-def test_a_stopped_entry_answers_what_it_took(platform: PlatformFleet) -> None:
-    # Symptom: a planned stop cuts a request.
+def test_a_stopped_entry_answers_accepted_jobs(platform: PlatformFleet) -> None:
+    # Guards against a planned stop that aborts a request.
     platform.start(entries=1, agents=1)
     with ThreadPoolExecutor() as pool:
         work = pool.submit(platform.submit, "entry-0", f"{JOB}01", 1, 1.5)
@@ -128,7 +131,7 @@
     assert events[-1] == "stopped"
 
 
-def test_a_draining_endpoint_gets_nothing_new(platform: PlatformFleet) -> None:
+def test_a_draining_endpoint_gets_no_new_work(platform: PlatformFleet) -> None:
     platform.start(entries=1, agents=1)
     platform.set_endpoint("agent-0", draining=True)
     wait_for(
@@ -137,16 +140,16 @@
     )
 
 
-def test_a_failed_request_leads_from_its_id_to_its_cause(
+def test_the_cause_of_a_failed_request_is_logged_under_its_id(
     platform: PlatformFleet,
 ) -> None:
-    # The path of docs/OPERATIONS.md: every task of this job fails.
+    # Follows the procedure in docs/OPERATIONS.md, with a job whose tasks all fail.
     platform.start(entries=1, agents=1)
     platform.set_endpoint("agent-0", fails=True)
     answer = platform.submit("entry-0", f"{JOB}01", width=1)
     assert answer.json() == {"state": "failed"}
     job = f"{JOB}01"
-    # Lines are written a little after what they tell.
+    # Log lines are written shortly after the event.
     wait_for(lambda: platform.list_logged("entry-0", "job_ended", job), "the job's end")
     (ended,) = platform.list_logged("entry-0", "job_ended", job)
     assert ended["reason"] == "attempts"
@@ -175,10 +178,9 @@
 
 
 def test_a_reload_while_a_process_starts_does_not_end_it() -> None:
-    # Symptom: a process that was just started is gone. Sequence: its settings change
-    # and it gets SIGHUP while it still imports. Cause: the handler comes after the
-    # imports, and until then the signal ends a process. Found by seeds 118 and 119
-    # of the soak.
+    # A process that had just started was ended by SIGHUP, sent when its settings
+    # changed during its imports: the handler is installed after these, and without one
+    # the signal ends a process (soak seeds 118 and 119).
     code = (
         "import runpy, signal; runpy.run_path('deploy/launch.py', run_name='launch'); "
         "signal.raise_signal(signal.SIGHUP); print('alive')"
@@ -189,12 +191,12 @@
     assert done.stdout == "alive\n"
 
 
-def test_an_agent_finds_entries_that_replaced_all_it_knew(
+def test_an_agent_finds_entries_that_replaced_all_known_ones(
     platform: PlatformFleet,
 ) -> None:
-    # Symptom: an endpoint with room gets no work. Sequence: all entries are removed
-    # while its agent is cut off, and others start at other addresses. Cause: the agent
-    # read where entries are once, when it started, and nobody is left to tell it.
+    # An endpoint with free capacity got no work: while its agent was cut off, all
+    # entries were replaced by others at new addresses. The agent read the addresses
+    # only once, at its start, and no entry that it knew was left to announce new ones.
     platform.start(entries=1, agents=1)
     platform.kill("entry-0")
     platform.start_entry("entry-1")
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -23,7 +23,7 @@
     return "\n".join(f"{key}={value}" for key, value in values.items() if value)
 
 
-def test_streams_listen_on_the_first_port_and_seeds_name_the_same() -> None:
+def test_streams_and_seeds_use_the_first_port_of_the_range() -> None:
     settings = PlatformSettings.from_text(make_text())
     assert settings.stream == "10.1.0.13:7720"
     assert settings.seeds == ("10.1.0.13:7720", "10.2.0.30:7720")
@@ -41,7 +41,7 @@
     assert "remedy" in str(caught.value)
 
 
-def test_a_port_that_is_no_number_is_named() -> None:
+def test_an_invalid_port_range_is_named() -> None:
     with pytest.raises(SettingsError, match="port-range"):
         PlatformSettings.from_text(make_text(port_range="x,y"))
 
@@ -52,25 +52,25 @@
         PlatformSettings.from_environment()
 
 
-def test_what_the_platform_tells_of_endpoints_is_taken() -> None:
-    told = {"bounds.hold_max_ms": "2000", "heartbeat-ms": "3000"}
-    text = make_text(**told, **{"bounds.far_factor": "3"})
+def test_endpoint_limits_are_read() -> None:
+    limits = {"bounds.hold_max_ms": "2000", "heartbeat-ms": "3000"}
+    text = make_text(**limits, **{"bounds.far_factor": "3"})
     deployment = PlatformSettings.from_text(text).deployment
     assert deployment == Deployment(2.0, 3.0, 3.0)
     assert PlatformSettings.from_text(make_text()).deployment == DEFAULT_DEPLOYMENT
 
 
 @pytest.mark.parametrize("value", ["soon", "0", "-1", "inf", "nan"])
-def test_a_figure_that_is_none_is_named(value: str) -> None:
+def test_an_invalid_number_is_named(value: str) -> None:
     with pytest.raises(SettingsError, match="heartbeat-ms"):
         PlatformSettings.from_text(make_text(**{"heartbeat-ms": value}))
 
 
-def test_what_bounds_entries_looks_at_the_store_is_taken() -> None:
-    told = {"bounds.contact_ms": "4000", "bounds.config_apply_ms": "3000"}
-    text = make_text(**told, **{"platform.reads_per_s": "6000.0"})
+def test_limits_of_store_polls_are_read() -> None:
+    limits = {"bounds.contact_ms": "4000", "bounds.config_apply_ms": "3000"}
+    text = make_text(**limits, **{"platform.reads_per_s": "6000.0"})
     deployment = PlatformSettings.from_text(text).deployment
-    wanted = DEFAULT_DEPLOYMENT._replace(
+    expected = DEFAULT_DEPLOYMENT._replace(
         fault_free_seconds=4.0, change_bound_seconds=3.0, store_reads_per_second=6000.0
     )
-    assert deployment == wanted
+    assert deployment == expected
--- a/tests/platform/test_start.py
+++ b/tests/platform/test_start.py
@@ -1,4 +1,4 @@
-"""What a program loads before it can answer anybody."""
+"""Number of modules that a program loads before its first answer."""
 
 import subprocess
 import sys
@@ -6,12 +6,13 @@
 import pytest
 from standins.platform_fleet import ROOT
 
-MOST_MODULES = 460
-"""Modules loaded before the first answer; importing them is half of the way from power
-to it on a small VM."""
+MAX_MODULES = 460
+"""Most modules loaded before the first answer. On a small VM, importing them takes half
+of the time from power-on to the first answer."""
 
-LOADED_LATER = {"aiohttp", "litestar", "prometheus_client", "yaml"}
-"""Needed by the product's own interface or by monitoring only, or not at all."""
+DEFERRED_PACKAGES = {"aiohttp", "litestar", "prometheus_client", "yaml"}
+"""Packages that must not be among them: only the project's own HTTP interface or
+monitoring uses them, or no module at all."""
 
 LIST_MODULES = (
     "import sys; sys.path.insert(0, 'src'); "
@@ -23,9 +24,9 @@
 
 
 @pytest.mark.parametrize("program", ["entry_program", "agent_program"])
-def test_little_is_loaded_before_the_first_answer(program: str) -> None:
+def test_few_modules_are_loaded_before_the_first_answer(program: str) -> None:
     words = [sys.executable, "-c", LIST_MODULES.format(program)]
     done = subprocess.run(words, cwd=ROOT, capture_output=True, text=True, check=True)
     loaded = done.stdout.split()
-    assert len(loaded) <= MOST_MODULES
-    assert not LOADED_LATER & {name.partition(".")[0] for name in loaded}
+    assert len(loaded) <= MAX_MODULES
+    assert not DEFERRED_PACKAGES & {name.partition(".")[0] for name in loaded}
--- a/tests/platform/test_two_entries.py
+++ b/tests/platform/test_two_entries.py
@@ -1,4 +1,4 @@
-"""One job submitted at two entries of real processes within moments."""
+"""A job submitted to two entries at almost the same time, with real processes."""
 
 from concurrent.futures import Future, ThreadPoolExecutor
 
@@ -13,14 +13,14 @@
 
 
 def submit(platform: PlatformFleet, entry: str, job: str) -> int:
-    """Submit a job and tell the status of its answer."""
+    """Submit a job, and return the HTTP status of the answer."""
     return platform.submit(entry, job, seconds=RUN_SECONDS).status_code
 
 
-def test_a_job_at_two_entries_is_run_once_and_answered_to_both(
+def test_a_job_at_two_entries_runs_once_and_both_are_answered(
     platform: PlatformFleet,
 ) -> None:
-    """Guards against a task at two endpoints, and against an answer to nobody."""
+    """Guards against a task that runs at two endpoints and against a lost answer."""
     platform.start(entries=2, agents=4)
     answers: list[tuple[Future[int], Future[int]]] = []
     with ThreadPoolExecutor(max_workers=8) as pool:
--- a/tests/platform/test_watch.py
+++ b/tests/platform/test_watch.py
@@ -1,4 +1,4 @@
-"""How soon an entry hears of a change by itself, whatever fails on the way."""
+"""Delay until an entry sees a change in the store, in spite of failing connections."""
 
 import asyncio
 import base64
@@ -18,19 +18,20 @@
 from godwitbank._internal.platform.store import StoreClient
 from tests.lib.virtual_time import run_virtually
 
-PHASES = [step * 0.07 for step in range(40)]
-"""Seconds by which the moment of a fault is shifted, over a look and its failure."""
+FAULT_OFFSETS_SECONDS = [step * 0.07 for step in range(40)]
+"""Seconds by which a fault is shifted, so that it hits each phase of a poll and of its
+timeout."""
 
-DEEP = b'{"x":' + b"[" * 100_000
-"""JSON that is nested deeper than any decoder goes."""
+TOO_DEEP_JSON = b'{"x":' + b"[" * 100_000
+"""JSON that is nested more deeply than decoders support."""
 
-CALM = 5.0
-"""Seconds, of the loop that never waits, before the first fault."""
+WARMUP_SECONDS = 5.0
+"""Seconds before the first fault, in virtual time."""
 
-SOON = 0.1
-LONG = 10.0
+DELIVERY_SECONDS = 0.1
+OUTAGE_SECONDS = 10.0
 
-BOUNDS = [
+DEPLOYMENTS = [
     Deployment(fault_free_seconds=2.0, change_bound_seconds=1.0),
     DEFAULT_DEPLOYMENT,
     Deployment(fault_free_seconds=4.0, change_bound_seconds=3.0),
@@ -39,7 +40,7 @@
 
 
 class Row(NamedTuple):
-    """The operators' row, as some version of theirs."""
+    """One version of the operators' configuration row."""
 
     version: int
     revision: int
@@ -47,17 +48,18 @@
 
 
 def make_row(version: int, revision: int, routes: object = ()) -> Row:
-    """Make a row of a version."""
+    """Make the row of a configuration."""
     body = {"version": version, "routes": routes}
     return Row(version, revision, json.dumps(body).encode())
 
 
 class FakeStore:
-    """Answers looks; calls under way while it is silent are never answered.
+    """Answers polls; calls that are open when it goes silent are never answered.
 
-    :ivar latency: seconds that each answer takes.
-    :ivar garbage: what is answered in place of rows, if anything.
-    :ivar silent_until: until when new calls get no answer, either.
+    :ivar latency: delay of each answer, in seconds.
+    :ivar garbage: malformed answer to be sent in place of rows, if any.
+    :ivar silent_until: time until which new calls get no answer either.
+    :ivar polls: times of the polls.
     """
 
     def __init__(self) -> None:
@@ -65,29 +67,29 @@
         self.latency = 0.004
         self.garbage: bytes | None = None
         self.silent_until = -math.inf
-        self.looks: list[float] = []
+        self.polls: list[float] = []
         self._broken = asyncio.Event()
         self._changed = asyncio.Event()
 
     def write(self, row: Row) -> None:
-        """Put another version in place."""
+        """Replace the row by another version."""
         self.row = row
         self._changed.set()
         self._changed = asyncio.Event()
 
     def silence(self, seconds: float = 0.0) -> None:
-        """Let open connections go silent for good, and new ones for a while."""
+        """Make open connections silent forever, and new ones for some seconds."""
         self.silent_until = asyncio.get_running_loop().time() + seconds
         self._broken.set()
         self._broken = asyncio.Event()
 
     async def read(self, path: str, query: dict[str, str], seconds: float) -> bytes:
-        """Answer a look, unless the connection goes silent meanwhile."""
+        """Answer a poll, unless its connection goes silent meanwhile."""
         loop = asyncio.get_running_loop()
-        self.looks.append(loop.time())
+        self.polls.append(loop.time())
         until = loop.time() + seconds
         answer = asyncio.ensure_future(self._answer(path, query))
-        broken = asyncio.ensure_future(self._break())
+        broken = asyncio.ensure_future(self._wait_for_break())
         first = asyncio.FIRST_COMPLETED
         done, _ = await asyncio.wait(
             {answer, broken}, timeout=seconds, return_when=first
@@ -97,9 +99,9 @@
             return answer.result()
         answer.cancel()
         await asyncio.sleep(until - loop.time())
-        raise NoAnswerError("given up")
+        raise NoAnswerError("no answer within the timeout")
 
-    async def _break(self) -> None:
+    async def _wait_for_break(self) -> None:
         if asyncio.get_running_loop().time() >= self.silent_until:
             await self._broken.wait()
 
@@ -124,139 +126,146 @@
         return json.dumps({"ver": self.row.revision, "rows": rows}).encode()
 
     def close(self) -> None:
-        """Close nothing."""
+        """Do nothing; there are no connections."""
 
 
-class KeptLog:
-    """Keeps the decisions written to it."""
+class RecordingLog:
+    """Records the events written to the log."""
 
     def __init__(self) -> None:
         self.lines: list[tuple[str, Mapping[str, object]]] = []
 
     def write(self, event: str, request: str, fields: Mapping[str, object]) -> None:
-        """Keep one line."""
+        """Record one event."""
         del request
         self.lines.append((event, fields))
 
 
-class Scene:
-    """An entry's watch of a store, and what it was told."""
+class WatcherHarness:
+    """An entry's watcher with a fake store.
+
+    :ivar received_at: times at which versions of the configuration were received first.
+    """
 
     def __init__(self, deployment: Deployment, entries: int = 3) -> None:
         self.store = FakeStore()
-        self.log = KeptLog()
-        self.heard_at: dict[int, float] = {}
+        self.log = RecordingLog()
+        self.received_at: dict[int, float] = {}
         self.counts = Counts()
         client = StoreClient(self.store, "entry-0", self.log, self.counts)  # type: ignore[arg-type]
         subscriber = Subscriber(self._evacuate, self._configure, lambda: entries)
         poll_limits = PollLimits.from_deployment(deployment)
-        self._watch = OperatorTableWatcher(
-            client, subscriber, poll_limits, self.log, self.counts
-        )  # type: ignore[arg-type]
+        self._watcher = OperatorTableWatcher(
+            client,
+            subscriber,
+            poll_limits,
+            self.log,  # type: ignore[arg-type]
+            self.counts,
+        )
 
-    async def __aenter__(self) -> "Scene":
-        self._running = asyncio.ensure_future(self._watch.run())
+    async def __aenter__(self) -> "WatcherHarness":
+        self._task = asyncio.ensure_future(self._watcher.run())
         return self
 
     async def __aexit__(self, *details: object) -> None:
-        self._running.cancel()
+        self._task.cancel()
 
     def _evacuate(self, evacuation: Evacuation) -> None:
         del evacuation
 
     def _configure(self, configuration: Configuration) -> None:
         now = asyncio.get_running_loop().time()
-        self.heard_at.setdefault(configuration.version, now)
+        self.received_at.setdefault(configuration.version, now)
 
 
-@pytest.mark.parametrize("deployment", BOUNDS)
+@pytest.mark.parametrize("deployment", DEPLOYMENTS)
 @pytest.mark.parametrize("latency", [0.004, 0.24])
-def test_an_entry_alone_hears_of_a_change_after_its_connections_fell_silent(
+def test_a_lone_entry_sees_a_change_after_its_connections_went_silent(
     deployment: Deployment, latency: float
 ) -> None:
-    async def play(phase: float) -> None:
-        async with Scene(deployment) as scene:
-            scene.store.latency = latency
-            await asyncio.sleep(CALM + phase)
-            scene.store.silence()
-            scene.store.write(make_row(2, 5))
+    async def run_scenario(offset: float) -> None:
+        async with WatcherHarness(deployment) as harness:
+            harness.store.latency = latency
+            await asyncio.sleep(WARMUP_SECONDS + offset)
+            harness.store.silence()
+            harness.store.write(make_row(2, 5))
             await asyncio.sleep(deployment.change_timeout_seconds)
-            assert 2 in scene.heard_at
+            assert 2 in harness.received_at
 
-    for phase in PHASES:
-        run_virtually(play(phase))
+    for offset in FAULT_OFFSETS_SECONDS:
+        run_virtually(run_scenario(offset))
 
 
-@pytest.mark.parametrize("deployment", BOUNDS)
+@pytest.mark.parametrize("deployment", DEPLOYMENTS)
 @pytest.mark.parametrize("silence", [0.5, 4.5, 21.0])
-@pytest.mark.parametrize("calm", [0.0, CALM])
-def test_an_entry_alone_hears_of_a_change_after_the_store_was_silent(
+@pytest.mark.parametrize("calm", [0.0, WARMUP_SECONDS])
+def test_a_lone_entry_sees_a_change_after_the_store_was_silent(
     deployment: Deployment, silence: float, calm: float
 ) -> None:
-    async def play(phase: float) -> None:
-        async with Scene(deployment) as scene:
-            await asyncio.sleep(calm + phase)
-            scene.store.silence(silence)
+    async def run_scenario(offset: float) -> None:
+        async with WatcherHarness(deployment) as harness:
+            await asyncio.sleep(calm + offset)
+            harness.store.silence(silence)
             await asyncio.sleep(silence)
-            scene.store.write(make_row(2, 5))
+            harness.store.write(make_row(2, 5))
             await asyncio.sleep(deployment.change_timeout_seconds)
-            assert 2 in scene.heard_at
+            assert 2 in harness.received_at
 
-    for phase in PHASES:
-        run_virtually(play(phase))
+    for offset in FAULT_OFFSETS_SECONDS:
+        run_virtually(run_scenario(offset))
 
 
-@pytest.mark.parametrize("garbage", [b"", b"{", DEEP, b'{"rows": 7}'])
-def test_an_answer_that_can_not_be_read_ends_no_watch(garbage: bytes) -> None:
-    async def play() -> None:
-        async with Scene(DEFAULT_DEPLOYMENT) as scene:
-            await asyncio.sleep(CALM)
-            scene.store.garbage = garbage
-            await asyncio.sleep(CALM)
-            scene.store.garbage = None
-            scene.store.write(make_row(2, 5))
+@pytest.mark.parametrize("garbage", [b"", b"{", TOO_DEEP_JSON, b'{"rows": 7}'])
+def test_a_malformed_answer_does_not_end_the_watcher(garbage: bytes) -> None:
+    async def run_scenario() -> None:
+        async with WatcherHarness(DEFAULT_DEPLOYMENT) as harness:
+            await asyncio.sleep(WARMUP_SECONDS)
+            harness.store.garbage = garbage
+            await asyncio.sleep(WARMUP_SECONDS)
+            harness.store.garbage = None
+            harness.store.write(make_row(2, 5))
             await asyncio.sleep(DEFAULT_DEPLOYMENT.change_timeout_seconds)
-            assert 2 in scene.heard_at
+            assert 2 in harness.received_at
 
-    run_virtually(play())
+    run_virtually(run_scenario())
 
 
-def test_a_version_that_can_not_be_decoded_hides_no_later_one() -> None:
-    async def play() -> None:
-        async with Scene(DEFAULT_DEPLOYMENT) as scene:
-            await asyncio.sleep(CALM)
-            scene.store.write(make_row(2, 5, routes="none"))
-            await asyncio.sleep(CALM)
-            scene.store.write(make_row(3, 6))
-            await asyncio.sleep(SOON)
-            assert sorted(scene.heard_at) == [1, 3]
-            assert scene.counts.get("rows_unusable", "op") == 1
+def test_a_version_after_an_undecodable_one_is_received() -> None:
+    async def run_scenario() -> None:
+        async with WatcherHarness(DEFAULT_DEPLOYMENT) as harness:
+            await asyncio.sleep(WARMUP_SECONDS)
+            harness.store.write(make_row(2, 5, routes="none"))
+            await asyncio.sleep(WARMUP_SECONDS)
+            harness.store.write(make_row(3, 6))
+            await asyncio.sleep(DELIVERY_SECONDS)
+            assert sorted(harness.received_at) == [1, 3]
+            assert harness.counts.get("rows_unusable", "op") == 1
 
-    run_virtually(play())
+    run_virtually(run_scenario())
 
 
 @pytest.mark.parametrize("entries", [1, 3, 35, 1300, 5000])
-def test_looks_of_all_entries_stay_below_their_share_of_the_reads(entries: int) -> None:
+def test_polls_of_all_entries_stay_within_their_share_of_reads(entries: int) -> None:
     seconds = 100.0
 
-    async def play() -> None:
-        async with Scene(DEFAULT_DEPLOYMENT, entries) as scene:
+    async def run_scenario() -> None:
+        async with WatcherHarness(DEFAULT_DEPLOYMENT, entries) as harness:
             await asyncio.sleep(seconds)
             share = DEFAULT_DEPLOYMENT.store_reads_per_second / 5 / entries
-            assert len(scene.store.looks) <= 2 + seconds * min(1.0, share)
+            assert len(harness.store.polls) <= 2 + seconds * min(1.0, share)
 
-    run_virtually(play())
+    run_virtually(run_scenario())
 
 
-def test_the_log_tells_how_long_the_store_was_not_heard() -> None:
-    async def play() -> None:
-        async with Scene(DEFAULT_DEPLOYMENT) as scene:
-            await asyncio.sleep(CALM)
-            scene.store.silence(LONG)
-            scene.store.write(make_row(2, 5))
-            await asyncio.sleep(LONG + CALM)
-            lost, read = scene.log.lines[-4], scene.log.lines[-1]
-            assert [event for event, _ in scene.log.lines[1:]] == [
+def test_the_log_shows_how_long_the_store_was_silent() -> None:
+    async def run_scenario() -> None:
+        async with WatcherHarness(DEFAULT_DEPLOYMENT) as harness:
+            await asyncio.sleep(WARMUP_SECONDS)
+            harness.store.silence(OUTAGE_SECONDS)
+            harness.store.write(make_row(2, 5))
+            await asyncio.sleep(OUTAGE_SECONDS + WARMUP_SECONDS)
+            lost, read = harness.log.lines[-4], harness.log.lines[-1]
+            assert [event for event, _ in harness.log.lines[1:]] == [
                 "operators_not_read",
                 "store_lost",
                 "store_regained",
@@ -264,6 +273,6 @@
             ]
             assert lost[1]["error"] == "NoAnswerError"
             silence = read[1]["silence"]
-            assert isinstance(silence, float) and silence > LONG
+            assert isinstance(silence, float) and silence > OUTAGE_SECONDS
 
-    run_virtually(play())
+    run_virtually(run_scenario())
