--- a/src/godwitbank/_internal/platform/agent_program.py
+++ b/src/godwitbank/_internal/platform/agent_program.py
@@ -42,7 +42,9 @@
     metrics_socket = bind(f"{settings.ip}:{METRICS_PORT}", "metrics")
     servers = [
         HttpServer(make_reports_app(process), report_socket, accepts_per_iteration=1),
-        HttpServer(make_agent_monitoring(process), metrics_socket, accepts_per_iteration=1),
+        HttpServer(
+            make_agent_monitoring(process), metrics_socket, accepts_per_iteration=1
+        ),
     ]
     for server in servers:
         await server.start()
