--- a/src/godwitbank/_internal/operations/__init__.py
+++ b/src/godwitbank/_internal/operations/__init__.py
@@ -1,1 +1,1 @@
-"""The asyncio shells that run the cores."""
+"""Processes: asyncio I/O, signal handling and timers around the sans-I/O cores."""
--- a/src/godwitbank/_internal/operations/agent.py
+++ b/src/godwitbank/_internal/operations/agent.py
@@ -1,4 +1,4 @@
-"""The agent's shell: sockets, endpoint calls and timers round its core."""
+"""The agent process: sockets, endpoint calls and timers around the agent core."""
 
 import asyncio
 import contextlib
@@ -40,13 +40,13 @@
 from godwitbank._internal.operations.sockets import bind
 
 ANNOUNCE_TIMEOUT_SECONDS = 1.0
-"""Longest wait for an entry's reply to an announcement."""
+"""Timeout for connecting to an entry, announcing this agent and reading the reply."""
 
 READ_SIZE_BYTES = 65536
 
 
 class AgentProcess:
-    """One agent."""
+    """An agent: its core, HTTP server, streams and connection to the endpoint."""
 
     def __init__(self, settings: AgentSettings) -> None:
         self.settings = settings
@@ -60,18 +60,21 @@
         self._drained = asyncio.Event()
         self._endpoint: EndpointClient | None = None
         self._endpoint_url = ""
-        self._runs: set[asyncio.Task[None]] = set()
+        self._run_tasks: set[asyncio.Task[None]] = set()
         self._inbox = Inbox(
             self.core, self._perform, lambda: self.core.next_wakeup, time.monotonic
         )
-        self._greeting = make_hello(identity, Role.AGENT)
+        self._hello = make_hello(identity, Role.AGENT)
         events = StreamEvents(self._inbox.put, self.core.counts.add)
-        self._streams = StreamTable(events, self._greeting)
+        self._streams = StreamTable(events, self._hello)
 
-    # What the HTTP application calls
+    # Methods called by the HTTP application
 
     async def handle_announcement(self, announcement: Announcement) -> None:
-        """Take an endpoint's announcement or renewal."""
+        """Register the endpoint or renew its registration.
+
+        Returns when the core has processed the announcement.
+        """
         if announcement["url"] != self._endpoint_url:
             self._endpoint_url = announcement["url"]
             self._endpoint = EndpointClient(
@@ -83,15 +86,19 @@
             announcement["lease_seconds"],
             announcement["instance"],
         )
-        await self._hand_over(event)
+        await self._process_event(event)
 
     async def handle_departure(self) -> None:
-        """Take the endpoint's word that it leaves."""
-        await self._hand_over(EndpointLeft())
+        """Record that the endpoint is leaving.
+
+        Returns when the core has processed the departure.
+        """
+        await self._process_event(EndpointLeft())
 
-    async def _hand_over(self, event: object) -> None:
-        # The reply must describe the state after the event, so that an endpoint
-        # told "leaving" can rely on it.
+    async def _process_event(self, event: object) -> None:
+        # The HTTP response describes the core's state. Flush first, so that it
+        # describes the state after this event: an endpoint that reads "leaving" in
+        # the response must be able to rely on it.
         self._inbox.put(event)
         await self._inbox.flush()
 
@@ -114,11 +121,11 @@
             self._streams.write(stream, messages)
 
     def _run_task(self, action: RunTask) -> None:
-        task = asyncio.create_task(self._run(action))
-        self._runs.add(task)
-        task.add_done_callback(self._runs.discard)
+        task = asyncio.create_task(self._run_on_endpoint(action))
+        self._run_tasks.add(task)
+        task.add_done_callback(self._run_tasks.discard)
 
-    async def _run(self, action: RunTask) -> None:
+    async def _run_on_endpoint(self, action: RunTask) -> None:
         if self._endpoint is None:
             detail = b"no endpoint"
             ending = Ending.ENDPOINT_FAILED
@@ -128,9 +135,9 @@
         self.exporter.record("run", ended.run_time)
         self._inbox.put(ended)
 
-    # Announcements
+    # Announcements to entries
 
-    async def _announce_forever(self) -> None:
+    async def _announce_periodically(self) -> None:
         while True:
             connected = self.core.list_entries()
             targets = self._announcements.choose_targets(connected, time.monotonic())
@@ -140,16 +147,16 @@
     async def _announce_to(self, address: str) -> None:
         try:
             async with asyncio.timeout(ANNOUNCE_TIMEOUT_SECONDS):
-                self._announcements.add_entries(await self._ask_entries(address))
+                self._announcements.add_entries(await self._fetch_entries(address))
         except (OSError, TimeoutError, FrameError, EOFError):
             self.core.counts.add("announcements_failed")
             self._announcements.remove_entry(address)
 
-    async def _ask_entries(self, address: str) -> list[str]:
+    async def _fetch_entries(self, address: str) -> list[str]:
         host, port = parse_address(address)
         reader, writer = await asyncio.open_connection(host, port)
         try:
-            writer.write(encode(self._greeting))
+            writer.write(encode(self._hello))
             frames = FrameReader()
             while data := await reader.read(READ_SIZE_BYTES):
                 for message in frames.feed(data):
@@ -159,33 +166,35 @@
         finally:
             writer.close()
 
-    # Life
+    # Lifecycle
 
     async def run(self) -> None:
-        """Serve until SIGTERM or SIGINT, then finish what runs and return."""
+        """Serve until SIGTERM or SIGINT, wait for running tasks, then shut down."""
         http_socket = bind(self.settings.http, "http")
         stream_socket = bind(self.settings.stream, "stream")
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self._stopping.set)
-        owner = asyncio.create_task(self._inbox.run())
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self._stopping.set)
+        core_task = asyncio.create_task(self._inbox.run())
         server = await loop.create_server(
             self._streams.make_accepted, sock=stream_socket
         )
         http = HttpServer(make_app(self), http_socket)
         await http.start()
-        announcer = asyncio.create_task(self._announce_forever())
-        logging.info("agent %s serves on %s", self.settings.name, self.settings.stream)
-        await wait_unless_failed(self._stopping, owner)
-        logging.info("agent %s drains", self.settings.name)
+        announcer = asyncio.create_task(self._announce_periodically())
+        logging.info(
+            "agent %s is listening on %s", self.settings.name, self.settings.stream
+        )
+        await wait_unless_failed(self._stopping, core_task)
+        logging.info("agent %s is draining", self.settings.name)
         self._inbox.put(StopRequested())
-        await wait_unless_failed(self._drained, owner)
+        await wait_unless_failed(self._drained, core_task)
         announcer.cancel()
         server.close()
         await http.stop()
         self._streams.close_all()
-        owner.cancel()
-        for task in (announcer, owner):
+        core_task.cancel()
+        for task in (announcer, core_task):
             with contextlib.suppress(asyncio.CancelledError):
                 await task
         if self._endpoint is not None:
--- a/src/godwitbank/_internal/operations/clocks.py
+++ b/src/godwitbank/_internal/operations/clocks.py
@@ -1,13 +1,13 @@
-"""The clock that decisions are made by."""
+"""The clock used for leases and timeouts."""
 
 import time
 
 
 def read_boot_time() -> float:
-    """Read seconds since the VM booted, time spent suspended included.
+    """Return the seconds since the VM booted, including time spent suspended.
 
-    The monotonic clock stands still while a VM is suspended: a process that
-    wakes up would take its leases and its peers' silence for seconds old when
-    they ended long ago.
+    ``CLOCK_MONOTONIC`` doesn't advance while a VM is suspended. With it, a resumed
+    process would treat leases and peer timeouts that expired during the suspension
+    as if only seconds had passed.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/src/godwitbank/_internal/operations/decisions.py
+++ b/src/godwitbank/_internal/operations/decisions.py
@@ -1,8 +1,8 @@
-"""The log of decisions: one JSON object a line, never blocking.
+"""Non-blocking log of decisions, one JSON object per line.
 
-Standard output is a pipe whose reader may stall. A blocking write would then
-stop a process that holds leases; so lines wait in a bounded buffer, and what
-doesn't fit is dropped and counted.
+The log is written to a pipe (standard output) whose reader may stall. A blocking
+write would then stall a process that holds leases. Lines are therefore kept in a
+bounded buffer; lines that don't fit are dropped and counted.
 """
 
 import asyncio
@@ -16,19 +16,24 @@
 from godwitbank._internal.core.counters import Counts
 
 MAX_BUFFERED_BYTES = 256 * 1024
-"""Bytes of lines that wait for the reader; some seconds of a busy process."""
+"""Maximum size of the buffered lines; a busy process fills it in some seconds."""
 
 FLUSH_DELAY_SECONDS = 0.05
-"""Longest time a line waits, so that a busy process writes 20 times a second instead of
-once a decision. A process that is killed loses what waits."""
+"""Delay before buffered lines are written. It limits a busy process to 20 writes per
+second instead of one per decision. Lines still buffered when the process is killed are
+lost."""
 
 _encode = msgspec.json.encode
 
 
 class DecisionLog:
-    """Writes decisions of one process to a file descriptor.
+    """Writes the decisions of one process to a file descriptor.
 
-    :param counts: is told how many lines were dropped.
+    :param descriptor: file descriptor to write to; it is made non-blocking.
+    :param process: name of the process, written in each line.
+    :param clock: returns the time written in each line, in seconds.
+    :param counts: counters of the process; dropped lines are counted there.
+    :ivar dropped: number of lines dropped so far.
     """
 
     def __init__(
@@ -40,29 +45,34 @@
     ) -> None:
         self.dropped = 0
         self._counts = counts
-        self._told_dropped = 0
+        self._reported_dropped = 0
         self._descriptor = descriptor
         self._process = process
         self._clock = clock
         self._lines: deque[bytes] = deque()
-        self._size = 0
+        self._buffered_bytes = 0
         self._scheduled = False
         os.set_blocking(descriptor, False)
 
     def write(self, event: str, request: str, fields: Mapping[str, object]) -> None:
-        """Queue one line; it is written within ``FLUSH_DELAY_SECONDS``."""
+        """Buffer one line and schedule a write after ``FLUSH_DELAY_SECONDS``.
+
+        :param event: name of the event.
+        :param request: id of the job or request concerned; left out if empty.
+        :param fields: further fields of the line.
+        """
         line = {"at": round(self._clock(), 4), "process": self._process}
         line["event"] = event  # type: ignore[assignment]
         if request:
             line["request"] = request  # type: ignore[assignment]
         line.update(fields)  # type: ignore[arg-type]
         data = _encode(line) + b"\n"
-        if self._size + len(data) > MAX_BUFFERED_BYTES:
+        if self._buffered_bytes + len(data) > MAX_BUFFERED_BYTES:
             self.dropped += 1
             self._counts.add("log_lines_dropped")
             return
         self._lines.append(data)
-        self._size += len(data)
+        self._buffered_bytes += len(data)
         self._schedule()
 
     def _schedule(self) -> None:
@@ -77,22 +87,23 @@
         data = b"".join(self._lines)
         written = 0
         with contextlib.suppress(BlockingIOError):
-            # The reader is slow; what is left waits for the next line.
+            # The pipe is full; the remaining bytes stay buffered.
             written = os.write(self._descriptor, data)
         self._lines.clear()
-        rest = data[written:]
-        self._size = len(rest)
-        if rest:
-            # Left until the next line is logged, it would be read late, and what is
-            # logged most, when a process is behind, would be dropped.
-            self._lines.append(rest)
+        remainder = data[written:]
+        self._buffered_bytes = len(remainder)
+        if remainder:
+            # Schedule another write now. If the remainder waited for the next logged
+            # line, it would be written late, and the buffer would overflow when an
+            # overloaded process logs the most.
+            self._lines.append(remainder)
             self._schedule()
-        elif self._told_dropped < self.dropped:
-            lines = self.dropped - self._told_dropped
-            self._told_dropped = self.dropped
+        elif self._reported_dropped < self.dropped:
+            lines = self.dropped - self._reported_dropped
+            self._reported_dropped = self.dropped
             self.write("log_lines_dropped", "", {"lines": lines})
 
     def close(self) -> None:
-        """Write what can be written without waiting."""
-        self._told_dropped = self.dropped
+        """Write as much of the buffer as the pipe accepts without blocking."""
+        self._reported_dropped = self.dropped
         self._flush()
--- a/src/godwitbank/_internal/operations/entry.py
+++ b/src/godwitbank/_internal/operations/entry.py
@@ -1,4 +1,4 @@
-"""The entry's shell: sockets, table and timers round its core."""
+"""The entry process: sockets, table access and timers around the entry core."""
 
 import asyncio
 import contextlib
@@ -45,18 +45,20 @@
 from godwitbank._internal.operations.sockets import bind
 
 POLL_INTERVAL_SECONDS = 2.0
-"""Seconds between reads of the table's head row."""
+"""Interval between reads of the table's head row."""
 
 CLAIM_TTL_SECONDS = 7 * 24 * 3600.0
-"""Seconds a claim is kept; request ids must not be reused later."""
+"""How long the table keeps a claim. A request id must not be reused after that, as the
+repetition would no longer be detected."""
 
 REFUSAL_LAG_SECONDS = 1.0
-"""Seconds of lateness from which submissions are refused. Deadlines here are seconds;
-a burst of callers that makes the loop late by tenths of a second is served in time."""
+"""Event loop lag from which an overloaded entry refuses submissions. Deadlines here are
+in seconds: a burst of callers that delays the loop by tenths of a second is still
+served in time."""
 
 
 class EntryProcess:
-    """One entry."""
+    """An entry: its core, HTTP server, streams and access to the table."""
 
     def __init__(self, settings: EntrySettings) -> None:
         self.settings = settings
@@ -76,29 +78,34 @@
         self._inbox = Inbox(
             self.core, self._perform, lambda: self.core.next_wakeup, time.monotonic
         )
-        greeting = make_hello(identity, Role.ENTRY)
+        hello = make_hello(identity, Role.ENTRY)
         events = StreamEvents(self._inbox.put, self.core.counts.add)
-        self._streams = StreamTable(events, greeting)
+        self._streams = StreamTable(events, hello)
         self.pressure = Pressure()
-        self._lag = LagMeter(ENTRY_INTERVAL_SECONDS, time.monotonic, self.handle_lag)
+        self._lag_meter = LagMeter(
+            ENTRY_INTERVAL_SECONDS, time.monotonic, self.handle_lag
+        )
         self._callers: dict[str, asyncio.Future[Outcome]] = {}
         self._tasks: set[asyncio.Task[Any]] = set()
 
-    # What the HTTP application calls
+    # Methods called by the HTTP application
 
     async def submit(
         self, service: str, tasks: tuple[TaskSpec, ...], seconds: float
     ) -> Outcome:
-        """Hand a submission to the core and wait for its outcome.
+        """Pass a submission to the core and wait for its outcome.
+
+        Cancelling this call tells the core that the caller disconnected.
 
-        :param seconds: time to the deadline.
+        :param seconds: seconds until the submission's deadline.
         """
         submission = uuid.uuid4().hex
         if self.draining:
             detail = "this entry is stopping"
             return Failed(submission, Reason.STOPPING, Ran.NOT_RUN, detail, 0.0)
         if self.pressure.overloaded and self.pressure.lag >= REFUSAL_LAG_SECONDS:
-            # Taken now it would be late, and make all that was taken before later.
+            # The submission would be processed late, and accepting it would further
+            # delay the submissions already accepted.
             detail = f"this entry is {self.pressure.lag:.3f} s behind"
             return Failed(submission, Reason.NO_PROCESSOR, Ran.NOT_RUN, detail, 1.0)
         if not self.core.ready:
@@ -118,41 +125,51 @@
             self._callers.pop(submission, None)
 
     def handle_lag(self, seconds: float) -> None:
-        """Note how late the event loop was."""
+        """Record the measured event loop lag.
+
+        :param seconds: lag in seconds.
+        """
         self.exporter.record("loop_lag", seconds)
         change = self.pressure.observe(seconds, time.monotonic())
         if change is not None:
             self.core.counts.add("pressure_changes", change.event)
-            logging.info("%s: %.3f s late", change.event, change.lag)
+            logging.info("%s: event loop lag is %.3f s", change.event, change.lag)
 
     def find_max_deadline_seconds(
         self, service: str, tasks: tuple[TaskSpec, ...]
     ) -> float:
-        """Find the longest deadline the document gives these tasks, in seconds."""
-        held = self.core.catalog.find(service)
-        if held is None:
+        """Return the longest deadline of the tasks' classes, in seconds.
+
+        It is 1 second if the service or all the classes are unknown.
+        """
+        installed = self.core.catalog.find(service)
+        if installed is None:
             return 1.0
-        classes = held.document.classes
-        known = [
+        classes = installed.document.classes
+        deadlines = [
             classes[task.class_name].deadline_seconds
             for task in tasks
             if task.class_name in classes
         ]
-        return max(known, default=1.0)
+        return max(deadlines, default=1.0)
 
     def drain_agent(self, agent: str, operator: str) -> bool:
-        """Ask an agent to leave; returns whether it is connected."""
-        known = any(
+        """Ask an agent to drain.
+
+        :param operator: name of the operator who requests it.
+        :return: whether the agent is connected; if not, nothing is done.
+        """
+        connected = any(
             view.process == agent and view.stream is not None
             for view in self.core.membership.agents.values()
         )
-        if known:
+        if connected:
             self._inbox.put(DrainRequested(agent, operator))
-        return known
+        return connected
 
     @property
     def ready(self) -> bool:
-        """Whether the balancer should send callers here."""
+        """Whether the load balancer should route callers to this entry."""
         return self.core.ready and not self.stopping.is_set()
 
     def _deliver_document(self, service: str, revision: int, text: str) -> None:
@@ -185,26 +202,27 @@
         if future is not None and not future.done():
             future.set_result(outcome)
 
-    def _spawn(self, work: Any) -> None:
-        task = asyncio.create_task(work)
+    def _spawn(self, coroutine: Any) -> None:
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _write_claims(self, action: WriteClaims) -> None:
         try:
-            lost = await self._commit_claims(action)
+            held_by_others = await self._commit_claims(action)
         except TableError as error:
-            logging.warning("claims not written: %s", error)
+            logging.warning("failed to write claims: %s", error)
             self._inbox.put(ClaimsFailed(action.batch))
             return
         written = {token: key for key, token in action.claims.items()}
-        self._inbox.put(ClaimsWritten(action.batch, lost, written))
+        self._inbox.put(ClaimsWritten(action.batch, held_by_others, written))
 
     async def _commit_claims(self, action: WriteClaims) -> dict[str, str]:
-        # A transaction is all or nothing, so rows held by others are taken out
-        # and the rest is tried again; a row that already holds our own token is
-        # an earlier try whose answer was lost.
-        lost: dict[str, str] = {}
+        # Returns the keys that other claimants hold, with their tokens. A transaction
+        # is applied as a whole or not at all, so these rows are removed and the rest
+        # is tried again. A row that already holds our own token was written by an
+        # earlier attempt whose response was lost.
+        held_by_others: dict[str, str] = {}
         versions = dict.fromkeys(action.claims, 0)
         while versions:
             puts = [
@@ -222,15 +240,15 @@
                 elif row.value == action.supersedes.get(key):
                     versions[key] = row.version
                 else:
-                    lost[key] = str(row.value)
+                    held_by_others[key] = str(row.value)
                     del versions[key]
-        return lost
+        return held_by_others
 
     async def _release_claims(self, action: ReleaseClaims) -> None:
         try:
             await self.table.delete(action.claims)
         except TableError as error:
-            logging.warning("claims not released: %s", error)
+            logging.warning("failed to release claims: %s", error)
 
     async def _poll_table(self) -> None:
         while True:
@@ -239,45 +257,50 @@
                 self._inbox.put(TableRead())
             except TableError as error:
                 self.core.counts.add("table_reads_failed")
-                logging.debug("table not read: %s", error)
+                logging.debug("failed to read the table: %s", error)
             await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
-    # Life
+    # Lifecycle
 
     async def run(self) -> None:
         """Serve until SIGTERM or SIGINT, then drain and return."""
         http_socket = bind(self.settings.http, "http")
         stream_socket = bind(self.settings.stream, "stream")
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.stopping.set)
-        owner = asyncio.create_task(self._inbox.run())
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self.stopping.set)
+        core_task = asyncio.create_task(self._inbox.run())
         poller = asyncio.create_task(self._poll_table())
-        self._lag.start()
+        self._lag_meter.start()
         server = await loop.create_server(
             self._streams.make_accepted, sock=stream_socket
         )
         http = HttpServer(make_app(self), http_socket)
         await http.start()
-        logging.info("entry %s serves on %s", self.settings.name, self.settings.http)
-        await wait_unless_failed(self.stopping, owner)
+        logging.info(
+            "entry %s is listening on %s", self.settings.name, self.settings.http
+        )
+        await wait_unless_failed(self.stopping, core_task)
         await self._drain(http)
         poller.cancel()
-        self._lag.stop()
+        self._lag_meter.stop()
         server.close()
         self._streams.close_all()
-        owner.cancel()
-        for task in (poller, owner):
+        core_task.cancel()
+        for task in (poller, core_task):
             with contextlib.suppress(asyncio.CancelledError):
                 await task
         await self.table.close()
         logging.info("entry %s stopped", self.settings.name)
 
     async def _drain(self, http: HttpServer) -> None:
-        # The balancer still sends callers here until it has seen that this
-        # entry is unready; refusing them now would cut requests another entry
-        # could have taken.
-        logging.info("stopping: unready for %.1f s", self.settings.unready_delay)
+        # The load balancer keeps routing callers here until it has seen that this
+        # entry is not ready. Refusing them now would fail requests that another
+        # entry could have accepted.
+        logging.info(
+            "not ready; accepting requests for another %.1f s before stopping",
+            self.settings.unready_delay,
+        )
         await asyncio.sleep(self.settings.unready_delay)
         await http.stop()
         self.draining = True
--- a/src/godwitbank/_internal/operations/exposition.py
+++ b/src/godwitbank/_internal/operations/exposition.py
@@ -1,4 +1,4 @@
-"""Counters and percentiles in the text format that monitoring scrapes."""
+"""Renders counters and percentiles in the Prometheus text exposition format."""
 
 from collections.abc import Iterator, Mapping
 from typing import NamedTuple
@@ -12,21 +12,25 @@
 
 
 class Percentile(NamedTuple):
-    """A percentile of response times, in seconds."""
+    """A percentile of response times.
+
+    :param percent: percentile rank, 0 to 100.
+    :param seconds: response time at that percentile.
+    """
 
     percent: float
     seconds: float
 
 
 class _Collector:
-    """Yields a process's metrics to the library's registry."""
+    """Collector that yields a process's metrics to a Prometheus registry."""
 
     def __init__(self, counts: Counts, times: Mapping[str, list[Percentile]]) -> None:
         self._counts = counts
         self._times = times
 
     def collect(self) -> Iterator[Metric]:
-        """Yield the metrics as they are now."""
+        """Yield the current metrics."""
         yield from self._collect_counts()
         yield self._collect_times()
 
@@ -48,13 +52,16 @@
             labels=["kind", "percentile"],
         )
         for kind, percentiles in self._times.items():
-            for each in percentiles:
-                family.add_metric([kind, f"{each.percent:g}"], each.seconds)
+            for percentile in percentiles:
+                family.add_metric([kind, f"{percentile.percent:g}"], percentile.seconds)
         return family
 
 
 def render_metrics(counts: Counts, times: Mapping[str, list[Percentile]]) -> bytes:
-    """Render a process's metrics as text."""
+    """Render a process's metrics in the text exposition format.
+
+    :param times: percentiles of response times, by kind.
+    """
     registry = CollectorRegistry()
     registry.register(_Collector(counts, times))  # type: ignore[arg-type]
     return generate_latest(registry)
--- a/src/godwitbank/_internal/operations/inbox.py
+++ b/src/godwitbank/_internal/operations/inbox.py
@@ -1,4 +1,4 @@
-"""A task that owns a core and feeds it events in order."""
+"""Event queue that feeds a core, in order, from a single task."""
 
 import asyncio
 from collections import deque
@@ -11,31 +11,44 @@
 
 
 class Core(Protocol[A]):
-    """What all cores have in common."""
+    """Interface common to all cores."""
 
     def handle(self, event: object, now: float) -> list[A]:
-        """Take one event and return what has to be done."""
+        """Process one event.
 
+        :param now: current time in seconds.
+        :return: actions that the process must perform.
+        """
 
-async def wait_unless_failed(event: asyncio.Event, owner: asyncio.Task[None]) -> None:
-    """Wait for an event, or raise what ended the core's task.
 
-    A core that raised has lost track of its state. If its process went on, it
-    would accept work and never answer; it must end, loudly, so that callers
-    submit elsewhere.
+async def wait_unless_failed(
+    event: asyncio.Event, core_task: asyncio.Task[None]
+) -> None:
+    """Wait for an event, or re-raise the exception that ended the core's task.
+
+    The state of a core that raised an exception is undefined. If its process kept
+    running, it would accept work and never answer. The process must exit with an
+    error instead, so that callers submit elsewhere.
+
+    :param core_task: task that runs :meth:`Inbox.run`.
     """
     waiting = asyncio.ensure_future(event.wait())
-    await asyncio.wait({waiting, owner}, return_when=asyncio.FIRST_COMPLETED)
-    if owner.done():
+    await asyncio.wait({waiting, core_task}, return_when=asyncio.FIRST_COMPLETED)
+    if core_task.done():
         waiting.cancel()
-        owner.result()
+        core_task.result()
 
 
 class Inbox(Generic[A]):
-    """Events waiting for a core, and the task that owns the core.
+    """Queues events for a core and passes them to it.
+
+    A callback of the event loop processes all events that were queued in one
+    iteration as a batch. Waking a task for each event would cost ten times as much
+    as the core's own work.
 
-    Events are handed over by callbacks of the loop, all that have come in one
-    turn together; waking a task for each cost ten times the core's own work.
+    :param perform: performs the actions that the core returned for a batch.
+    :param next_wakeup: returns the time at which the core needs its next tick.
+    :param clock: returns the current time in seconds.
     """
 
     def __init__(
@@ -51,30 +64,30 @@
         self._clock = clock
         self._events: deque[object] = deque()
         self._loop: asyncio.AbstractEventLoop | None = None
-        self._ended: asyncio.Future[None] | None = None
+        self._failure: asyncio.Future[None] | None = None
         self._scheduled = False
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at = 0.0
 
     def put(self, event: object) -> None:
-        """Queue an event."""
+        """Queue an event for the core."""
         self._events.append(event)
         self._schedule()
 
     async def flush(self) -> None:
-        """Wait until every event queued before has been handled."""
+        """Wait until the core has processed all events queued so far."""
         loop = asyncio.get_running_loop()
         marker: asyncio.Future[None] = loop.create_future()
         self.put(marker)
         await marker
 
     async def run(self) -> None:
-        """Hand over events and ticks until cancelled, or until the core raises."""
+        """Pass events and ticks to the core until cancelled or the core raises."""
         self._loop = asyncio.get_running_loop()
-        self._ended = self._loop.create_future()
+        self._failure = self._loop.create_future()
         self._schedule()
         try:
-            await self._ended
+            await self._failure
         finally:
             self._loop = None
             if self._timer is not None:
@@ -83,21 +96,21 @@
     def _schedule(self) -> None:
         if self._loop is not None and not self._scheduled:
             self._scheduled = True
-            self._loop.call_soon(self._hand_over)
+            self._loop.call_soon(self._run_batch)
 
-    def _hand_over(self) -> None:
+    def _run_batch(self) -> None:
         self._scheduled = False
-        if self._loop is None or self._ended is None or self._ended.done():
+        if self._loop is None or self._failure is None or self._failure.done():
             return
         try:
-            self._drain()
+            self._process_events()
         except Exception as error:  # noqa: BLE001
-            # Whatever it is, the owner's task must end with it.
-            self._ended.set_exception(error)
+            # The task that awaits run() must end with any exception of the core.
+            self._failure.set_exception(error)
             return
-        self._arm(self._loop)
+        self._set_timer(self._loop)
 
-    def _drain(self) -> None:
+    def _process_events(self) -> None:
         actions: list[A] = []
         for _ in range(len(self._events)):
             event = self._events.popleft()
@@ -110,18 +123,18 @@
         if actions:
             self._perform(actions)
 
-    def _arm(self, loop: asyncio.AbstractEventLoop) -> None:
+    def _set_timer(self, loop: asyncio.AbstractEventLoop) -> None:
         at = self._next_wakeup()
         if self._timer is not None and self._timer_at <= at:
-            # It fires early, finds nothing due, and is armed again: cheaper
-            # than a new timer for every event.
+            # The timer fires too early, finds nothing due and is set again. That
+            # costs less than a new timer for every event.
             return
         if self._timer is not None:
             self._timer.cancel()
         self._timer_at = at
         delay = max(0.0, at - self._clock())
-        self._timer = loop.call_later(delay, self._fire)
+        self._timer = loop.call_later(delay, self._on_timer)
 
-    def _fire(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
         self._schedule()
--- a/src/godwitbank/_internal/operations/registry.py
+++ b/src/godwitbank/_internal/operations/registry.py
@@ -1,9 +1,9 @@
-"""Accepted documents in the platform's table.
+"""Stores accepted service documents in the platform's table.
 
-One row per service holds the document in force; ``index`` holds the revision of
-each service and ``head`` only the highest one, so that a poll reads a few bytes
-however many services there are. All change in one transaction, with a row of
-history.
+One row per service holds its current document. The row ``index`` holds the revision
+of each service, and the row ``head`` only the highest revision, so that a poll reads a
+few bytes regardless of the number of services. A change updates all of them, and adds
+a history row, in one transaction.
 """
 
 import asyncio
@@ -16,17 +16,19 @@
 HEAD_KEY = "head"
 INDEX_KEY = "index"
 MAX_APPLY_ATTEMPTS = 8
-"""Tries of one apply against a table that loses answers or races."""
+"""Maximum attempts to apply one document. An attempt fails if the table's response is
+lost or another change is committed first."""
 
 RETRY_DELAY_SECONDS = 0.2
 
 
 class ApplyRequest(NamedTuple):
-    """An operator's wish to put a document in force.
+    """An operator's request to install a document.
 
+    :param operator: name of the operator.
+    :param operation: unique id of this request, the same for all its retries.
     :param expected_revision: revision that the document was edited from, or ``None``
         to replace whichever revision is current.
-    :param operation: unique id of this wish, kept over retries.
     """
 
     service: str
@@ -37,82 +39,91 @@
 
 
 class DocumentRegistry:
-    """Reads and changes documents in the table."""
+    """Reads and changes documents in the table.
+
+    :param deliver: called with the service, revision and text of each document that was
+        read or applied.
+    """
 
     def __init__(
         self, table: TableClient, deliver: Callable[[str, int, str], None]
     ) -> None:
         self._table = table
         self._deliver = deliver
-        self._sequence = 0
+        self._last_revision = 0
 
     async def refresh(self, known: dict[str, int]) -> None:
-        """Read what is newer than ``known`` and deliver it.
+        """Read and deliver the documents that are newer than ``known``.
 
-        :raises TableError: when the table gives no usable answer.
+        :param known: highest revision already known, by service.
+        :raises TableError: if the table returns no usable response.
         """
         head = await self._table.read(HEAD_KEY)
-        sequence = int(head.value) if head.value else 0
-        if sequence <= self._sequence:
+        head_revision = int(head.value) if head.value else 0
+        if head_revision <= self._last_revision:
             return
         index = await self._table.read(INDEX_KEY)
         revisions = index.value or {}
         for service, revision in revisions.items():
             if revision > known.get(service, 0):
-                row = await self._table.read(_name_row(service))
+                row = await self._table.read(_make_document_key(service))
                 if row.value:
                     value = row.value
                     self._deliver(service, int(value["revision"]), value["text"])
-        # As far as the index went: a lagging read of it must not be taken for all
-        # that the head promised, or a change would be missed until the next one.
-        self._sequence = max(revisions.values(), default=0)
+        # Continue from the index, not from the head: the index may have been read from
+        # a replica that lags behind. Recording the head's revision would then skip a
+        # change until the next one is made.
+        self._last_revision = max(revisions.values(), default=0)
 
     async def apply(self, request: ApplyRequest) -> int:
         """Commit a document by compare-and-set on its revision.
 
-        A lost answer is settled by reading back: the row names the operation
-        that wrote it. Revisions come from one sequence, so they only rise.
+        If a response is lost, the outcome is determined by reading back: the history
+        row is named after the operation that wrote it. All services share one sequence
+        of revisions, so revisions only increase.
 
-        :return: the revision accepted.
-        :raises ConflictError: when another operator's change came first.
-        :raises TableError: when it can't be learnt whether it was accepted.
+        :return: the accepted revision.
+        :raises ConflictError: if another operator's change was committed first.
+        :raises TableError: if it can't be determined whether the document was accepted.
         """
-        doubt: TableError | None = None
+        last_error: TableError | None = None
         for _ in range(MAX_APPLY_ATTEMPTS):
             try:
                 if request.expected_revision is None:
-                    request = await self._pin(request)
+                    request = await self._pin_expected_revision(request)
                 revision = await self._try_apply(request)
             except TableError as error:
-                doubt = error
+                last_error = error
                 await asyncio.sleep(RETRY_DELAY_SECONDS)
                 continue
             if revision is not None:
                 return revision
         raise TableError(
             "it isn't known whether the document was accepted",
-            context=str(doubt),
+            context=str(last_error),
             remedy=f"apply again with --operation {request.operation}",
         )
 
-    async def _pin(self, request: ApplyRequest) -> ApplyRequest:
-        # Without this, a second try would take the winner of a race for the
-        # document its operator meant to replace, and silently undo it.
-        row = await self._table.read(_name_row(request.service))
+    async def _pin_expected_revision(self, request: ApplyRequest) -> ApplyRequest:
+        # Fixes the revision to be replaced before the first attempt. Otherwise a retry
+        # after a lost race would take the winner's document for the one that this
+        # operator meant to replace, and silently undo the winner's change.
+        row = await self._table.read(_make_document_key(request.service))
         current = int(row.value["revision"]) if row.value else 0
         return request._replace(expected_revision=current)
 
-    async def _find_done(self, request: ApplyRequest) -> int | None:
-        # The row itself may already hold a later operator's document.
-        name = _name_history(request.service, request.operation)
-        row = await self._table.read(name)
+    async def _find_applied_revision(self, request: ApplyRequest) -> int | None:
+        # Reads the history row, as the document row may already hold the document of
+        # a later operation.
+        history_key = _make_history_key(request.service, request.operation)
+        row = await self._table.read(history_key)
         return int(row.value["revision"]) if row.value else None
 
     async def _try_apply(self, request: ApplyRequest) -> int | None:
-        done = await self._find_done(request)
-        if done is not None:
-            return done
-        row = await self._table.read(_name_row(request.service))
+        applied = await self._find_applied_revision(request)
+        if applied is not None:
+            return applied
+        row = await self._table.read(_make_document_key(request.service))
         current = int(row.value["revision"]) if row.value else 0
         if request.expected_revision != current:
             raise _make_conflict(row, request)
@@ -125,11 +136,11 @@
             "operator": request.operator,
             "operation": request.operation,
         }
-        history = _name_history(request.service, request.operation)
+        history_key = _make_history_key(request.service, request.operation)
         revisions = {**(index.value or {}), request.service: revision}
         puts = [
             Put(key=row.key, version=row.version, value=value),
-            Put(key=history, version=0, value=value),
+            Put(key=history_key, version=0, value=value),
             Put(key=HEAD_KEY, version=head.version, value=revision),
             Put(key=INDEX_KEY, version=index.version, value=revisions),
         ]
@@ -140,11 +151,11 @@
         return None
 
 
-def _name_row(service: str) -> str:
+def _make_document_key(service: str) -> str:
     return f"document/{service}"
 
 
-def _name_history(service: str, operation: str) -> str:
+def _make_history_key(service: str, operation: str) -> str:
     return f"history/{service}/{operation}"
 
 
--- a/src/godwitbank/_internal/operations/run_agent.py
+++ b/src/godwitbank/_internal/operations/run_agent.py
@@ -1,4 +1,4 @@
-"""The shell round the agent's core for leased runs: streams, orders, timers."""
+"""The agent process for leased runs: streams, endpoint calls and timers."""
 
 import asyncio
 import contextlib
@@ -36,50 +36,62 @@
 from godwitbank._internal.operations.metrics import Exporter
 
 DRAIN_TIMEOUT_SECONDS = 4.5
-"""Longest wait for running tasks after SIGTERM; the process is killed at 6 s,
-and its successor needs the rest to take over the endpoint."""
+"""Maximum wait for running tasks after SIGTERM. The process is killed after 6 s, and
+its successor needs the remaining time to take over the endpoint."""
 
 MAX_LOGGED_INSTANCES = 100
-"""Instances whose refused reports are logged; all are counted."""
+"""Maximum number of instances whose refused reports are logged. All are counted."""
 
 FINAL_SEND_SECONDS = 0.2
-"""Time the last outcomes get to leave the sockets before the process ends."""
+"""Time for the last outcomes to be sent before the process closes its sockets."""
 
 
 class EndpointControl(Protocol):
-    """Calls to the endpoint beside the agent."""
+    """Calls to the endpoint next to the agent."""
 
     async def start(self, order: OrderStart) -> StartAnswered:
-        """Order a start."""
+        """Order the endpoint to start a run."""
 
     async def stop(self, order: OrderStop) -> None:
-        """Order a stop; whether it was heard shows in the next renewal."""
+        """Order the endpoint to stop a run.
+
+        The next lease renewal shows whether the endpoint received the order.
+        """
 
     async def renew(self, order: RenewLease) -> RenewalAnswered | RenewalFailed:
-        """Renew the lease and fetch the lists."""
+        """Renew the lease and fetch the endpoint's lists of runs."""
 
     async def close(self) -> None:
-        """Close connections."""
+        """Close the connections to the endpoint."""
 
 
 class ReportStore(Protocol):
-    """Keeps the endpoint's last report where a restarted agent finds it."""
+    """Stores the endpoint's last report, so that a restarted agent can read it."""
 
     async def store_report(self, report: EndpointReport) -> None:
-        """Keep a report; failing to is no harm but a wait after a restart."""
+        """Store a report.
+
+        A failure does no harm beyond a longer wait after a restart.
+        """
 
     async def read_stored_report(self) -> EndpointReport | None:
-        """Find the report that was kept last."""
+        """Read the report that was stored last, if any."""
 
 
 class RunAgentProcess:
-    """One agent for leased runs."""
+    """An agent for leased runs.
+
+    :param endpoint_control: calls to the endpoint.
+    :param report_store: storage for the endpoint's last report.
+    :param log: log of decisions.
+    :param counts: counters of the process.
+    """
 
     def __init__(
         self,
         identity: Identity,
-        orders: EndpointControl,
-        keeper: ReportStore,
+        endpoint_control: EndpointControl,
+        report_store: ReportStore,
         log: DecisionLog,
         counts: Counts,
         deployment: Deployment = DEFAULT_DEPLOYMENT,
@@ -89,9 +101,9 @@
         )
         self.exporter = Exporter(self.core.counts)
         self.stopping = asyncio.Event()
-        self._quiet = asyncio.Event()
-        self._orders = orders
-        self._keeper = keeper
+        self._shutdown_complete = asyncio.Event()
+        self._endpoint_control = endpoint_control
+        self._report_store = report_store
         self._log = log
         self._incarnation = identity.incarnation
         self._tasks: set[asyncio.Task[None]] = set()
@@ -99,16 +111,22 @@
         self._inbox = Inbox(
             self.core, self._perform, lambda: self.core.next_wakeup, read_boot_time
         )
-        self._lag = LagMeter(AGENT_INTERVAL_SECONDS, read_boot_time, self._hear_lag)
+        self._lag_meter = LagMeter(
+            AGENT_INTERVAL_SECONDS, read_boot_time, self._handle_lag
+        )
         events = StreamEvents(self._inbox.put, self.core.counts.add)
         self.streams = StreamTable(events, make_hello(identity, Role.AGENT))
 
     def put(self, event: object) -> None:
-        """Hand an event to the core."""
+        """Queue an event for the core."""
         self._inbox.put(event)
 
     def record_refused_report(self, instance: str, reason: str) -> None:
-        """Count a report that names no endpoint, and log each writer's first one."""
+        """Count a report that doesn't describe an endpoint; log each instance's first.
+
+        :param instance: instance id under which the report was sent.
+        :param reason: why the report was refused.
+        """
         self.core.counts.add("reports_refused")
         if instance in self._refused_reports:
             return
@@ -118,10 +136,10 @@
             self._log.write("report_refused", "", fields)
 
     def add_entry_addresses(self, addresses: tuple[str, ...]) -> None:
-        """Take stream addresses of entries."""
+        """Add stream addresses of entries to dial."""
         self._inbox.put(AddressesRead(addresses))
 
-    def _hear_lag(self, seconds: float) -> None:
+    def _handle_lag(self, seconds: float) -> None:
         self.exporter.record("loop_lag", seconds)
         self._inbox.put(LagMeasured(seconds))
 
@@ -137,56 +155,56 @@
             elif isinstance(action, RenewLease):
                 self._spawn(self._renew(action))
             elif isinstance(action, OrderStop):
-                self._spawn(self._orders.stop(action))
+                self._spawn(self._endpoint_control.stop(action))
             elif isinstance(action, StoreReport):
-                self._spawn(self._keeper.store_report(action.report))
+                self._spawn(self._report_store.store_report(action.report))
             elif isinstance(action, CloseStream):
                 self.streams.write(action.stream, writes.pop(action.stream, []))
                 self.streams.close(action.stream, action.reason == "silence")
             elif isinstance(action, Dial):
                 self.streams.dial(action.address)
             elif isinstance(action, ShutdownComplete):
-                self._quiet.set()
+                self._shutdown_complete.set()
         for stream, messages in writes.items():
             self.streams.write(stream, messages)
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.create_task(work)
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def _start(self, order: OrderStart) -> None:
-        began = read_boot_time()
-        answer = await self._orders.start(order)
-        self.exporter.record("start_order", read_boot_time() - began)
+        started_at = read_boot_time()
+        answer = await self._endpoint_control.start(order)
+        self.exporter.record("start_order", read_boot_time() - started_at)
         self._inbox.put(answer)
 
     async def _renew(self, order: RenewLease) -> None:
-        self._inbox.put(await self._orders.renew(order))
+        self._inbox.put(await self._endpoint_control.renew(order))
 
-    async def _recall(self) -> None:
-        report = await self._keeper.read_stored_report()
+    async def _restore_report(self) -> None:
+        report = await self._report_store.read_stored_report()
         if report is not None:
             self._inbox.put(StoredReportRead(report))
 
     async def run(self) -> None:
-        """Serve until SIGTERM or SIGINT; then let running tasks finish."""
+        """Serve until SIGTERM or SIGINT, then wait for running tasks and shut down."""
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.stopping.set)
-        owner = asyncio.create_task(self._inbox.run())
-        self._lag.start()
-        self._spawn(self._recall())
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self.stopping.set)
+        core_task = asyncio.create_task(self._inbox.run())
+        self._lag_meter.start()
+        self._spawn(self._restore_report())
         self._log.write("started", "", {"incarnation": self._incarnation})
-        await wait_unless_failed(self.stopping, owner)
+        await wait_unless_failed(self.stopping, core_task)
         self._inbox.put(StopRequested())
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(DRAIN_TIMEOUT_SECONDS):
-                await wait_unless_failed(self._quiet, owner)
+                await wait_unless_failed(self._shutdown_complete, core_task)
         await asyncio.sleep(FINAL_SEND_SECONDS)
-        self._lag.stop()
+        self._lag_meter.stop()
         self.streams.close_all()
-        owner.cancel()
-        await self._orders.close()
+        core_task.cancel()
+        await self._endpoint_control.close()
         self._log.write("stopped", "", {"lines_dropped": self._log.dropped})
         self._log.close()
--- a/src/godwitbank/_internal/operations/run_entry.py
+++ b/src/godwitbank/_internal/operations/run_entry.py
@@ -1,4 +1,4 @@
-"""The shell round the entry's core for jobs of leased runs."""
+"""The entry process for jobs of leased runs: streams, callers and timers."""
 
 import asyncio
 import itertools
@@ -40,11 +40,11 @@
 from godwitbank._internal.operations.metrics import Exporter
 
 FINAL_SEND_SECONDS = 0.2
-"""Time the last orders to stop get to leave the sockets."""
+"""Time for the last stop orders to be sent before the process closes its sockets."""
 
 
 class RunEntryProcess:
-    """One entry for jobs of leased runs."""
+    """An entry for jobs of leased runs."""
 
     def __init__(
         self,
@@ -59,45 +59,52 @@
         )
         self.exporter = Exporter(self.core.counts)
         self.stopping = asyncio.Event()
-        self._quiet = asyncio.Event()
-        self._owner: asyncio.Task[None] | None = None
+        self._shutdown_complete = asyncio.Event()
+        self._core_task: asyncio.Task[None] | None = None
         self._log = log
         self._incarnation = identity.incarnation
-        self._numbers = itertools.count(1)
+        self._caller_ids = itertools.count(1)
         self._callers: dict[int, asyncio.Future[JobResult]] = {}
         self._inbox = Inbox(
             self.core, self._perform, lambda: self.core.next_wakeup, read_boot_time
         )
-        self._lag = LagMeter(ENTRY_INTERVAL_SECONDS, read_boot_time, self._hear_lag)
+        self._lag_meter = LagMeter(
+            ENTRY_INTERVAL_SECONDS, read_boot_time, self._handle_lag
+        )
         events = StreamEvents(self._inbox.put, self.core.counts.add)
         self.streams = StreamTable(events, make_hello(identity, Role.ENTRY))
 
-    # What the HTTP application and the store's watcher call
+    # Methods called by the HTTP application and the store's watcher
+
+    async def submit(self, spec: JobSpec, timeout_seconds: float) -> JobResult:
+        """Pass a job to the core and wait for its result.
 
-    async def submit(self, spec: JobSpec, patience: float) -> JobResult:
-        """Hand a job to the core and wait for its result.
+        Cancelling this call tells the core that the caller disconnected.
 
-        :param patience: seconds the caller waits.
+        :param timeout_seconds: seconds that the caller waits for the result.
         """
-        began = read_boot_time()
-        caller = next(self._numbers)
+        started_at = read_boot_time()
+        caller = next(self._caller_ids)
         loop = asyncio.get_running_loop()
         future: asyncio.Future[JobResult] = loop.create_future()
         self._callers[caller] = future
-        self._inbox.put(JobSubmitted(caller, spec, patience))
+        self._inbox.put(JobSubmitted(caller, spec, timeout_seconds))
         try:
             result = await future
-            self.exporter.record(f"job_{result.end}", read_boot_time() - began)
+            self.exporter.record(f"job_{result.end}", read_boot_time() - started_at)
             return result
         except asyncio.CancelledError:
             self._inbox.put(CallerDisconnected(caller))
-            self.exporter.record("caller_gone", read_boot_time() - began)
+            self.exporter.record("caller_gone", read_boot_time() - started_at)
             raise
         finally:
             self._callers.pop(caller, None)
 
     def shed(self, job: str) -> JobResult:
-        """Refuse a caller before its request is read."""
+        """Refuse a caller before its request is read, to shed load.
+
+        :param job: id of the job.
+        """
         self.core.counts.add("jobs_refused", "no_processor")
         lag = round(self.core.pressure.lag, 3)
         fields = {"reason": "no_processor", "lag": lag, "unread": True}
@@ -107,29 +114,33 @@
         )
 
     async def cancel(self, job: str) -> bool:
-        """Cancel a job; returns whether it was in flight here."""
-        known = self.core.intake.has_job(job)
+        """Cancel a job.
+
+        :param job: id of the job.
+        :return: whether the job was in flight at this entry.
+        """
+        in_flight = self.core.intake.has_job(job)
         self._inbox.put(JobCancelled(job))
         await self._inbox.flush()
-        return known
+        return in_flight
 
     def install_configuration(self, configuration: Configuration) -> None:
-        """Take a configuration read from the store."""
+        """Install a configuration that was read from the store."""
         self._inbox.put(ConfigurationRead(configuration))
 
     def update_evacuation(self, evacuation: Evacuation) -> None:
-        """Take what was read from the store of evacuated zones."""
+        """Install the set of evacuated zones that was read from the store."""
         self._inbox.put(EvacuationRead(evacuation))
 
     def count_entries(self) -> int:
-        """Count the entries that are known, this one too."""
+        """Count the known entries, including this one."""
         return self.core.links.addresses.count + 1
 
     def add_entry_addresses(self, addresses: tuple[str, ...]) -> None:
-        """Take stream addresses of entries."""
+        """Add stream addresses of entries to dial."""
         self._inbox.put(AddressesRead(addresses))
 
-    def _hear_lag(self, seconds: float) -> None:
+    def _handle_lag(self, seconds: float) -> None:
         self.exporter.record("loop_lag", seconds)
         self._inbox.put(LagMeasured(seconds))
 
@@ -150,7 +161,7 @@
             elif isinstance(action, Dial):
                 self.streams.dial(action.address)
             elif isinstance(action, ShutdownComplete):
-                self._quiet.set()
+                self._shutdown_complete.set()
         for stream, messages in writes.items():
             self.streams.write(stream, messages)
 
@@ -159,26 +170,26 @@
         if future is not None and not future.done():
             future.set_result(action.result)
 
-    # Life
+    # Lifecycle
 
     async def run(self) -> None:
-        """Serve until SIGTERM or SIGINT, and finish what was taken."""
+        """Serve until SIGTERM or SIGINT, then finish the accepted jobs."""
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.stopping.set)
-        self._owner = asyncio.create_task(self._inbox.run())
-        self._lag.start()
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self.stopping.set)
+        self._core_task = asyncio.create_task(self._inbox.run())
+        self._lag_meter.start()
         self._log.write("started", "", {"incarnation": self._incarnation})
-        await wait_unless_failed(self.stopping, self._owner)
+        await wait_unless_failed(self.stopping, self._core_task)
         self._inbox.put(StopRequested())
-        await wait_unless_failed(self._quiet, self._owner)
+        await wait_unless_failed(self._shutdown_complete, self._core_task)
 
     async def close(self) -> None:
-        """Close streams; callers must have been answered before."""
+        """Close the streams; all callers must have been answered."""
         await asyncio.sleep(FINAL_SEND_SECONDS)
         self.streams.close_all()
-        self._lag.stop()
-        if self._owner is not None:
-            self._owner.cancel()
+        self._lag_meter.stop()
+        if self._core_task is not None:
+            self._core_task.cancel()
         self._log.write("stopped", "", {"lines_dropped": self._log.dropped})
         self._log.close()
--- a/src/godwitbank/_internal/operations/server.py
+++ b/src/godwitbank/_internal/operations/server.py
@@ -1,4 +1,4 @@
-"""Serving an HTTP application beside other tasks of a process."""
+"""Serves an HTTP application alongside the other tasks of a process."""
 
 import asyncio
 import socket
@@ -7,14 +7,15 @@
 import uvicorn
 
 ACCEPTS_PER_ITERATION = 16
-"""Connections a listener takes in one turn of the event loop.
+"""Connections that a listener accepts in one iteration of the event loop.
 
-The loop takes one a turn and listener. With turns of some milliseconds, callers that
-come on new connections wait in the kernel's queue, where nothing here sees them."""
+The loop accepts one connection per listener and iteration. With iterations of some
+milliseconds, callers on new connections would wait in the kernel's accept queue, where
+this process can't see them. Each listening socket is therefore duplicated."""
 
 
 class HttpServer:
-    """A uvicorn server that leaves signals to its owner.
+    """A uvicorn server that leaves signal handling to the process.
 
     :param accepts_per_iteration: connections that each listener accepts in one
         iteration of the event loop.
@@ -37,7 +38,7 @@
             h11_max_incomplete_event_size=64 * 1024,
         )
         self._server = uvicorn.Server(config)
-        self._server.capture_signals = _leave_signals  # type: ignore
+        self._server.capture_signals = _skip_signal_capture  # type: ignore
         self._listeners = [
             listener.dup()
             for listener in listeners
@@ -48,24 +49,24 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start to accept connections."""
+        """Start accepting connections."""
         serving = self._server.serve(sockets=self._listeners)
         self._task = asyncio.create_task(serving)
         while not self._server.started and not self._task.done():
             await asyncio.sleep(0)
 
     def count_connections(self) -> int:
-        """Count the connections that are open."""
+        """Count the open connections."""
         return len(self._server.server_state.connections)
 
     async def stop(self) -> None:
-        """Stop accepting, and wait for requests in flight."""
+        """Stop accepting connections and wait for requests in flight."""
         self._server.should_exit = True
         if self._task is not None:
             await self._task
 
 
-class _NoSignals:
+class _NoSignalCapture:
     def __enter__(self) -> None:
         return None
 
@@ -73,5 +74,5 @@
         return None
 
 
-def _leave_signals() -> _NoSignals:
-    return _NoSignals()
+def _skip_signal_capture() -> _NoSignalCapture:
+    return _NoSignalCapture()
--- a/src/godwitbank/_internal/operations/sockets.py
+++ b/src/godwitbank/_internal/operations/sockets.py
@@ -10,14 +10,16 @@
 
 
 def bind(address: str, setting: str) -> socket.socket:
-    """Bind a listening socket.
+    """Create a non-blocking socket that listens on an address.
 
-    :raises AddressInUseError: naming the address and the setting.
+    :param address: ``host:port`` to bind to.
+    :param setting: name of the setting, for the error message.
+    :raises AddressInUseError: if the address is in use or can't be bound.
     """
     host, port = parse_address(address)
-    # With protocol number 0 asyncio would not set TCP_NODELAY on what is accepted
-    # (cpython base_events._set_nodelay), and small frames would wait for an
-    # acknowledgement that the other side delays by 40 ms.
+    # With the default protocol number 0, asyncio doesn't set TCP_NODELAY on accepted
+    # connections (see _set_nodelay in CPython's asyncio.base_events). Small frames
+    # would then wait for an acknowledgement, which the peer delays by 40 ms.
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
--- a/src/godwitbank/_internal/operations/status.py
+++ b/src/godwitbank/_internal/operations/status.py
@@ -1,4 +1,4 @@
-"""What an entry tells an operator about itself and what it knows."""
+"""Status report of an entry for operators."""
 
 import time
 from typing import Any
@@ -7,7 +7,10 @@
 
 
 def describe_entry(core: EntryCore, ready: bool) -> dict[str, Any]:
-    """Describe an entry, its peers, agents and services."""
+    """Describe an entry and its known agents, peer entries and services.
+
+    :param ready: whether the entry accepts callers.
+    """
     now = time.monotonic()
     agents = [
         {
--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -159,7 +159,7 @@
     Break(
         "own write not recognised",
         "src/godwitbank/_internal/operations/registry.py",
-        "        if done is not None:",
+        "        if applied is not None:",
         "        if False:",
         f"{FAILURES}/test_configuration.py::test_lost_answer_of_an_accepted_write",
     ),
--- a/tests/operations/__init__.py
+++ b/tests/operations/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the shells."""
+"""Tests of the processes around the cores."""
--- a/tests/operations/test_decisions.py
+++ b/tests/operations/test_decisions.py
@@ -1,4 +1,4 @@
-"""The log of decisions, written to a pipe whose reader is slow."""
+"""Tests of the log of decisions when the reader of its pipe is slow."""
 
 import asyncio
 import json
@@ -9,11 +9,11 @@
 from godwitbank._internal.operations.decisions import MAX_BUFFERED_BYTES, DecisionLog
 
 LINES = 600
-LONG = "x" * 200
+LONG_REQUEST_ID = "x" * 200
 
 
 async def _read_lines(descriptor: int, count: int) -> list[dict[str, object]]:
-    """Read lines from a pipe while the loop goes on."""
+    """Read lines from a pipe without blocking the event loop."""
     os.set_blocking(descriptor, False)
     data = b""
     while data.count(b"\n") < count:
@@ -26,13 +26,15 @@
     return [json.loads(line) for line in data.splitlines()]
 
 
-def _run(play: Callable[[DecisionLog, int], Awaitable[None]], counts: Counts) -> None:
+def _run(
+    scenario: Callable[[DecisionLog, int], Awaitable[None]], counts: Counts
+) -> None:
     async def run() -> None:
         reader, writer = os.pipe()
         try:
             log = DecisionLog(writer, "entry-1", lambda: 1.0, counts)
             async with asyncio.timeout(30):
-                await play(log, reader)
+                await scenario(log, reader)
         finally:
             os.close(reader)
             os.close(writer)
@@ -40,33 +42,33 @@
     asyncio.run(run())
 
 
-def test_lines_that_a_full_pipe_held_back_are_written_by_themselves() -> None:
-    # Symptom: the last seconds of a busy process are missing from its log. Sequence:
-    # more is logged than the pipe holds, then nothing. Cause: what didn't fit waited
-    # for the next line.
-    async def play(log: DecisionLog, reader: int) -> None:
+def test_lines_buffered_by_a_full_pipe_are_written_without_another_line() -> None:
+    # A busy process logs more than the pipe holds, and then nothing. If lines that
+    # didn't fit wait for the next logged line, the last seconds of the process are
+    # missing from its log.
+    async def scenario(log: DecisionLog, reader: int) -> None:
         for number in range(LINES):
-            log.write("run_sent", LONG, {"number": number})
+            log.write("run_sent", LONG_REQUEST_ID, {"number": number})
         lines = await _read_lines(reader, LINES)
         assert [line["number"] for line in lines] == list(range(LINES))
 
-    _run(play, Counts())
+    _run(scenario, Counts())
 
 
-def test_a_gap_in_the_log_is_told_in_the_log_and_the_metrics() -> None:
-    # Symptom: an engineer takes a request for lost, as its lines are missing. Cause:
-    # lines were dropped, and only the last line before the process's end told so.
+def test_dropped_lines_are_reported_in_the_log_and_the_metrics() -> None:
+    # If only the last line before the process exits reports that lines were dropped,
+    # someone reading the log concludes that the requests without lines were lost.
     counts = Counts()
-    fitting = MAX_BUFFERED_BYTES // (len(LONG) + 100)
+    min_fitting_lines = MAX_BUFFERED_BYTES // (len(LONG_REQUEST_ID) + 100)
 
-    async def play(log: DecisionLog, reader: int) -> None:
+    async def scenario(log: DecisionLog, reader: int) -> None:
         written = 0
         while not counts.get("log_lines_dropped"):
-            log.write("run_sent", LONG, {"number": written})
+            log.write("run_sent", LONG_REQUEST_ID, {"number": written})
             written += 1
-        assert written > fitting
+        assert written > min_fitting_lines
         lines = await _read_lines(reader, written)
         assert lines[-1]["event"] == "log_lines_dropped"
         assert lines[-1]["lines"] == 1
 
-    _run(play, counts)
+    _run(scenario, counts)
--- a/tests/operations/test_entry.py
+++ b/tests/operations/test_entry.py
@@ -1,4 +1,4 @@
-"""The shell of an entry of the own interface."""
+"""Tests of the entry process."""
 
 import asyncio
 
@@ -7,10 +7,10 @@
 from godwitbank._internal.operations.entry import EntryProcess
 
 
-def test_submissions_are_refused_while_the_entry_is_behind() -> None:
-    # Symptom: callers wait until their deadlines. Sequence: more comes than the entry's
-    # processor serves; all of it is taken. Cause: as with leased runs, only room at
-    # endpoints and bounds of queues were looked at.
+def test_submissions_are_refused_while_the_entry_is_overloaded() -> None:
+    # More submissions arrive than the entry has processor time for. If admission checks
+    # only the endpoints' free capacity and the queue limits, the entry accepts all of
+    # them, and callers wait until their deadlines. Leased runs have the same failure.
     async def submit() -> list[Reason]:
         settings = EntrySettings(
             "entry-1", "zone-1", "127.0.0.1:1", "127.0.0.1:2", "http://127.0.0.1:3"
--- a/tests/operations/test_inbox.py
+++ b/tests/operations/test_inbox.py
@@ -1,4 +1,4 @@
-"""The loop that feeds a core."""
+"""Tests of the event queue that feeds a core."""
 
 import asyncio
 
@@ -13,19 +13,19 @@
 
 
 def test_a_core_that_raises_ends_its_process() -> None:
-    """A fault in a core leaves a process that accepts work and never answers.
+    """A core that raises must not leave a process that accepts work and never answers.
 
-    Symptom: callers wait until their deadlines; health says alive.
-    Sequence: the core raises on an event; its task ends; sockets stay open.
-    Cause: nobody waits for the task that owns the core.
+    If nothing awaits the core's task, the task ends when the core raises on an event,
+    but the sockets stay open: callers wait until their deadlines, while the health
+    check passes.
     """
 
     async def run() -> None:
         inbox = Inbox(_BrokenCore(), lambda actions: None, lambda: 1e9, lambda: 0.0)
-        owner = asyncio.create_task(inbox.run())
+        core_task = asyncio.create_task(inbox.run())
         inbox.put("anything")
         async with asyncio.timeout(10):
-            await wait_unless_failed(asyncio.Event(), owner)
+            await wait_unless_failed(asyncio.Event(), core_task)
 
     with pytest.raises(ZeroDivisionError):
         asyncio.run(run())
--- a/tests/operations/test_lag.py
+++ b/tests/operations/test_lag.py
@@ -1,28 +1,28 @@
-"""Measuring how late the event loop is."""
+"""Tests of the measurement of event loop lag."""
 
 import asyncio
 
 from godwitbank._internal.operations.lag import LagMeter
 
 
-def test_a_turn_that_takes_long_is_told() -> None:
-    # A callback keeps the loop for half a second of the meter's clock; the timer
-    # that was due meanwhile tells it.
+def test_long_iteration_is_reported_as_lag() -> None:
+    # The event loop is blocked for half a second of the meter's clock. The timer that
+    # was due in the meantime must report that lag.
     now = 10.0
 
     async def run() -> float:
         nonlocal now
-        told: asyncio.Future[float] = asyncio.get_running_loop().create_future()
+        reported: asyncio.Future[float] = asyncio.get_running_loop().create_future()
 
-        def deliver(lag: float) -> None:
-            if not told.done():
-                told.set_result(lag)
+        def on_lag(lag: float) -> None:
+            if not reported.done():
+                reported.set_result(lag)
 
-        meter = LagMeter(0.001, lambda: now, deliver)
+        meter = LagMeter(0.001, lambda: now, on_lag)
         meter.start()
         now += 0.5
         try:
-            return await told
+            return await reported
         finally:
             meter.stop()
 
--- a/tests/operations/test_registry.py
+++ b/tests/operations/test_registry.py
@@ -1,4 +1,4 @@
-"""Documents in the table: polls and lagging reads."""
+"""Tests of documents in the table: polls, lagging reads and repeated operations."""
 
 import asyncio
 from typing import Any
@@ -8,16 +8,16 @@
 
 
 class _Table:
-    """Rows in memory; reads of some keys may lag behind."""
+    """In-memory table; reads of some keys may return an outdated row."""
 
     def __init__(self) -> None:
         self.rows: dict[str, Row] = {}
-        self.lagging: dict[str, Row] = {}
+        self.outdated_rows: dict[str, Row] = {}
         self.reads = 0
 
     async def read(self, key: str) -> Row:
         self.reads += 1
-        return self.lagging.get(key) or self.rows.get(key, Row(key, 0, None))
+        return self.outdated_rows.get(key) or self.rows.get(key, Row(key, 0, None))
 
     async def write(self, puts: list[Put], ttl: float = 0.0) -> Conflict | None:
         for put in puts:
@@ -26,7 +26,7 @@
         return None
 
 
-def _make() -> tuple[_Table, DocumentRegistry, list[tuple[str, int]]]:
+def _make_registry() -> tuple[_Table, DocumentRegistry, list[tuple[str, int]]]:
     table = _Table()
     delivered: list[tuple[str, int]] = []
 
@@ -37,13 +37,13 @@
 
 
 async def _apply(registry: DocumentRegistry, service: str, operation: str) -> int:
-    wish = ApplyRequest(service, "text", "op", operation, None)
-    return await registry.apply(wish)
+    request = ApplyRequest(service, "text", "op", operation, None)
+    return await registry.apply(request)
 
 
 def test_poll_without_a_change_reads_one_small_row() -> None:
     async def run() -> Any:
-        table, registry, _ = _make()
+        table, registry, _ = _make_registry()
         await _apply(registry, "a", "1")
         await registry.refresh({"a": 1})
         before = table.reads
@@ -54,24 +54,23 @@
 
 
 def test_lagging_index_is_read_again() -> None:
-    """The head shows a change that the index, read after it, does not.
+    """A poll must not miss a change that the head shows and the index doesn't yet.
 
-    Symptom: an accepted document is not in force at one entry until the next
-    change of any service.
-    Sequence: head read from a fresh replica, index from a lagging one.
-    Cause: the head's number noted as done although the index had less.
+    The head is read from an up-to-date replica and the index from a lagging one. If the
+    head's revision is recorded as processed although the index has a lower one, the
+    entry installs the accepted document only at the next change of any service.
     """
 
     async def run() -> list[tuple[str, int]]:
-        table, registry, delivered = _make()
+        table, registry, delivered = _make_registry()
         await _apply(registry, "a", "1")
-        old = table.rows["index"]
+        outdated_index = table.rows["index"]
         await _apply(registry, "b", "2")
         delivered.clear()
-        table.lagging["index"] = old
+        table.outdated_rows["index"] = outdated_index
         await registry.refresh({"a": 1})
         assert delivered == []
-        table.lagging.clear()
+        table.outdated_rows.clear()
         await registry.refresh({"a": 1})
         return delivered
 
@@ -80,7 +79,7 @@
 
 def test_same_operation_is_accepted_once() -> None:
     async def run() -> tuple[int, int, int]:
-        _, registry, _ = _make()
+        _, registry, _ = _make_registry()
         first = await _apply(registry, "a", "1")
         await _apply(registry, "a", "2")
         return first, await _apply(registry, "a", "1"), first
--- a/tests/operations/test_server.py
+++ b/tests/operations/test_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server beside other tasks of a process."""
+"""Tests of the HTTP server."""
 
 import asyncio
 import socket
@@ -8,20 +8,19 @@
 from godwitbank._internal.operations.server import ACCEPTS_PER_ITERATION, HttpServer
 from godwitbank._internal.operations.sockets import bind
 
-TURNS = 4
-"""Turns of the loop in which a connection may get from the kernel to the server."""
+MAX_ITERATIONS = 4
+"""Event loop iterations within which the server must accept the pending connections."""
 
 
 async def _answer(scope: dict, receive: object, send: object) -> None:
-    raise AssertionError("nobody asks anything")
+    raise AssertionError("no request was sent")
 
 
-def test_callers_on_new_connections_are_taken_many_a_turn() -> None:
-    # Symptom: callers on new connections wait for half a second, and for seconds under
-    # load, while the process looks idle; nobody is refused. Sequence: each turn of a
-    # busy loop takes some milliseconds; each takes one connection; more come. Cause:
-    # the loop accepts one connection a turn and listener, so that what waits in the
-    # kernel's queue grows where no measurement of the process sees it.
+def test_each_iteration_accepts_many_new_connections() -> None:
+    # The event loop accepts one connection per listener and iteration. With iterations
+    # of some milliseconds, the kernel's accept queue grows where the process doesn't
+    # measure it: callers on new connections wait for half a second, and for seconds
+    # under load, while the process looks idle and refuses nobody.
     async def count_accepted() -> int:
         listener = bind("127.0.0.1:0", "http")
         address = listener.getsockname()
@@ -30,7 +29,7 @@
         callers = [
             socket.create_connection(address) for _ in range(ACCEPTS_PER_ITERATION)
         ]
-        for _ in range(TURNS):
+        for _ in range(MAX_ITERATIONS):
             await asyncio.sleep(0)
         accepted = server.count_connections()
         for caller in callers:
--- a/tests/operations/test_sockets.py
+++ b/tests/operations/test_sockets.py
@@ -1,4 +1,4 @@
-"""Listening sockets."""
+"""Tests of listening sockets."""
 
 import asyncio
 import socket
@@ -11,31 +11,32 @@
 
 
 def test_accepted_connections_send_small_frames_at_once() -> None:
-    """Every hop adds 40 ms although nothing is busy.
+    """Accepted connections must have TCP_NODELAY set.
 
-    Symptom: an idle system answers 50 ms late.
-    Sequence: a process writes two small pieces to an accepted connection; the
-    second waits until the other side acknowledges the first, which it delays.
-    Cause: asyncio sets TCP_NODELAY only on sockets whose protocol number says
-    TCP; a listener made with the default number 0 hands that on.
+    asyncio sets it only on sockets whose protocol number is that of TCP, and a listener
+    created with the default number 0 passes 0 on to accepted connections. The second of
+    two small writes then waits for the peer's delayed acknowledgement of the first:
+    each hop takes 40 ms longer, and an idle system answers 50 ms late.
     """
 
     async def accept() -> int:
         listener = bind(f"127.0.0.1:{pick_port()}", "http")
         accepted = asyncio.get_running_loop().create_future()
 
-        class Probe(asyncio.Protocol):
+        class AcceptingProtocol(asyncio.Protocol):
             def connection_made(self, transport: asyncio.BaseTransport) -> None:
                 accepted.set_result(transport.get_extra_info("socket"))
 
-        server = await asyncio.get_running_loop().create_server(Probe, sock=listener)
+        server = await asyncio.get_running_loop().create_server(
+            AcceptingProtocol, sock=listener
+        )
         _, writer = await asyncio.open_connection(*listener.getsockname())
-        option: int = (await accepted).getsockopt(
+        nodelay: int = (await accepted).getsockopt(
             socket.IPPROTO_TCP, socket.TCP_NODELAY
         )
         writer.close()
         server.close()
-        return option
+        return nodelay
 
     assert asyncio.run(accept()) == 1
 
