--- a/src/godwitbank/_internal/http/__init__.py
+++ b/src/godwitbank/_internal/http/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP faces of entry and agent."""
+"""HTTP interfaces of the entry and the agent."""
--- a/src/godwitbank/_internal/http/agent.py
+++ b/src/godwitbank/_internal/http/agent.py
@@ -1,4 +1,4 @@
-"""The agent's local HTTP face: the endpoint beside it, and monitoring."""
+"""The agent's local HTTP interface for its endpoint and for monitoring."""
 
 from typing import Any, Protocol, TypedDict
 
@@ -18,11 +18,14 @@
 
 
 class Announcement(TypedDict):
-    """What an endpoint says of itself.
+    """Request body with which an endpoint registers or renews its registration.
 
+    :param service: name of the service that the endpoint runs tasks for.
     :param url: base URL; tasks are posted to ``/run`` below it.
-    :param lease_seconds: how long it counts as there without a renewal.
-    :param instance: its own name for this run of its process.
+    :param slots: number of tasks that it runs at a time.
+    :param connections: maximum number of connections that the agent opens to it.
+    :param lease_seconds: seconds after which the registration lapses if not renewed.
+    :param instance: id that the endpoint chose for this run of its process.
     """
 
     service: str
@@ -33,7 +36,7 @@
     instance: str
 
 
-def _find_fault(announcement: Announcement) -> str | None:
+def _find_announcement_error(announcement: Announcement) -> str | None:
     if not announcement["service"]:
         return "service is empty"
     if not announcement["url"].startswith("http://"):
@@ -48,27 +51,27 @@
 
 
 class Agent(Protocol):
-    """What this application needs of the process behind it."""
+    """Interface of the agent process that the application uses."""
 
     core: AgentCore
     exporter: Exporter
 
     async def handle_announcement(self, announcement: Announcement) -> None:
-        """Take what the endpoint says of itself."""
+        """Register the endpoint or renew its registration."""
 
     async def handle_departure(self) -> None:
-        """Let the endpoint leave."""
+        """Record that the endpoint is leaving."""
 
 
 def make_app(process: Agent) -> Litestar:
-    """Make the application of one agent."""
+    """Create the HTTP application of an agent."""
 
     @put("/v1/endpoint", summary="Announce the endpoint, or renew.")
     async def announce(data: Announcement) -> Response[bytes] | dict[str, Any]:
-        fault = _find_fault(data)
-        if fault is not None:
+        error = _find_announcement_error(data)
+        if error is not None:
             return make_request_problem(
-                422, "wrong_announcement", fault, "mend the body"
+                422, "wrong_announcement", error, "mend the body"
             )
         await process.handle_announcement(data)
         return process.core.describe()
--- a/src/godwitbank/_internal/http/bodies.py
+++ b/src/godwitbank/_internal/http/bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of callers' requests, decoded and checked."""
+"""Decodes and validates the bodies of callers' requests."""
 
 import math
 from typing import NamedTuple, NotRequired, TypedDict
@@ -11,7 +11,7 @@
 from godwitbank._internal.utils.decoding import decode_json
 
 MAX_NAME_CHARACTERS = 200
-"""Longest task id, class name or request id, in characters."""
+"""Maximum length of a task id, class name or request id."""
 
 MAX_DEADLINE_SECONDS = 3600.0
 JSON_MEDIA_TYPE = "application/json"
@@ -26,7 +26,7 @@
         "request_id": NotRequired[str],
     },
 )
-"""One task of a job as a caller writes it."""
+"""Request body: one task of a job."""
 
 RequestBody = TypedDict(
     "RequestBody",
@@ -37,20 +37,23 @@
         "deadline_seconds": NotRequired[float],
     },
 )
-"""A single request as a caller writes it."""
+"""Request body: a single request."""
 
 
 class JobBody(TypedDict):
-    """A job as a caller writes it."""
+    """Request body: a job."""
 
     tasks: list[TaskBody]
     deadline_seconds: NotRequired[float]
 
 
 class ParsedSubmission(NamedTuple):
-    """A submission ready for the core.
+    """A validated submission.
 
-    :param deadline_seconds: the caller's deadline, or 0 for the document's.
+    :param task_ids: the caller's ids of the tasks, in the order of ``tasks``.
+    :param tasks: tasks for the core.
+    :param deadline_seconds: the caller's deadline in seconds from now, or 0 to use the
+        deadline in the service document.
     """
 
     task_ids: tuple[str, ...]
@@ -63,7 +66,10 @@
 
 
 def parse_job(body: bytes) -> Result[ParsedSubmission, str]:
-    """Parse a job; the failure says what is wrong."""
+    """Parse a job.
+
+    :return: the submission, or a failure with a description of the error.
+    """
     try:
         job = decode_json(_job_decoder, body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -71,30 +77,33 @@
     tasks = job["tasks"]
     if not 1 <= len(tasks) <= MAX_TASKS:
         return Failure(f"{len(tasks)} tasks; a job has 1 to {MAX_TASKS}")
-    names = tuple(task["id"] for task in tasks)
-    if len(set(names)) != len(names):
+    task_ids = tuple(task["id"] for task in tasks)
+    if len(set(task_ids)) != len(task_ids):
         return Failure("two tasks have the same id")
     specs = tuple(_make_spec(task) for task in tasks)
     request_ids = [spec.request_id for spec in specs if spec.request_id]
     if len(set(request_ids)) != len(request_ids):
         return Failure("two tasks have the same request_id")
-    return _check(ParsedSubmission(names, specs, job.get("deadline_seconds", 0.0)))
+    return _validate(
+        ParsedSubmission(task_ids, specs, job.get("deadline_seconds", 0.0))
+    )
 
 
-def parse_request(body: bytes, key: str) -> Result[ParsedSubmission, str]:
+def parse_request(body: bytes, idempotency_key: str) -> Result[ParsedSubmission, str]:
     """Parse a single request.
 
-    :param key: value of the ``Idempotency-Key`` header, or empty.
+    :param idempotency_key: value of the ``Idempotency-Key`` header, or empty.
+    :return: the submission, or a failure with a description of the error.
     """
     try:
         request = decode_json(_request_decoder, body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         return Failure(str(error))
     spec = _make_spec(request)
-    if key and spec.request_id and key != spec.request_id:
+    if idempotency_key and spec.request_id and idempotency_key != spec.request_id:
         return Failure("request_id and Idempotency-Key differ")
-    spec = spec._replace(request_id=spec.request_id or key)
-    return _check(
+    spec = spec._replace(request_id=spec.request_id or idempotency_key)
+    return _validate(
         ParsedSubmission(("request",), (spec,), request.get("deadline_seconds", 0.0))
     )
 
@@ -104,7 +113,7 @@
     return TaskSpec(task["class"], payload, task.get("request_id", ""))
 
 
-def _check(parsed: ParsedSubmission) -> Result[ParsedSubmission, str]:
+def _validate(parsed: ParsedSubmission) -> Result[ParsedSubmission, str]:
     for name in (*parsed.task_ids, *(task.class_name for task in parsed.tasks)):
         if not 1 <= len(name) <= MAX_NAME_CHARACTERS:
             return Failure(
@@ -119,25 +128,34 @@
 
 
 def encode_job_answer(
-    submission: str, names: tuple[str, ...], answers: tuple[TaskAnswer, ...]
+    submission: str, task_ids: tuple[str, ...], answers: tuple[TaskAnswer, ...]
 ) -> bytes:
-    """Encode the whole answer to a job."""
-    rows = [
+    """Encode the response to a completed job.
+
+    :param submission: id of the submission.
+    :param task_ids: the caller's ids of the tasks.
+    :param answers: the endpoints' answers, in the order of ``task_ids``.
+    """
+    encoded_answers = [
         {
-            "id": name,
+            "id": task_id,
             "status": answer.status,
             "content_type": answer.content_type,
             "body": _embed(answer),
         }
-        for name, answer in zip(names, answers, strict=True)
+        for task_id, answer in zip(task_ids, answers, strict=True)
     ]
-    whole = {"status": "complete", "submission": submission, "answers": rows}
-    return msgspec.json.encode(whole)
+    response = {
+        "status": "complete",
+        "submission": submission,
+        "answers": encoded_answers,
+    }
+    return msgspec.json.encode(response)
 
 
 def _embed(answer: TaskAnswer) -> object:
-    # The agent has checked that a JSON answer is JSON; splicing it in unparsed
-    # keeps numbers and key order exactly as the endpoint wrote them.
+    # The agent has validated JSON answers. Embedding them unparsed preserves numbers
+    # and the order of keys exactly as the endpoint wrote them.
     if answer.content_type.startswith(JSON_MEDIA_TYPE):
         return msgspec.Raw(answer.body)
     return answer.body.decode("utf-8", errors="replace")
--- a/src/godwitbank/_internal/http/disconnect.py
+++ b/src/godwitbank/_internal/http/disconnect.py
@@ -1,13 +1,15 @@
-"""Noticing that a caller hung up."""
+"""Detects that a caller disconnected."""
 
 from collections.abc import Awaitable, Callable, Mapping
 from typing import Any
 
 
 async def await_disconnect(receive: Callable[[], Awaitable[Mapping[str, Any]]]) -> None:
-    """Wait until the caller's connection is gone; its body must have been read.
+    """Wait until the caller disconnects.
 
-    :param receive: gives the server's next message about the request.
+    The request body must have been read before.
+
+    :param receive: ASGI ``receive`` callable of the request.
     """
     while True:
         message = await receive()
--- a/src/godwitbank/_internal/http/entry.py
+++ b/src/godwitbank/_internal/http/entry.py
@@ -1,10 +1,10 @@
-"""The entry's HTTP face: callers, operators and monitoring."""
+"""The entry's HTTP interface for callers, operators and monitoring."""
 
 import asyncio
 import time
 from typing import Annotated, Any, Protocol
 
-import httptools  # noqa: F401  fails here, at start, rather than in the server
+import httptools  # noqa: F401  imported to fail at startup, not later in the server
 from litestar import Litestar, Request, Response, get, post, put
 from litestar.exceptions import ClientException, HTTPException
 from litestar.openapi.config import OpenAPIConfig
@@ -37,11 +37,11 @@
 from godwitbank._internal.operations.status import describe_entry
 
 MAX_DOCUMENT_BYTES = 256 * 1024
-Header = Annotated[str, HeaderParameter(name="Idempotency-Key")]
+IdempotencyKey = Annotated[str, HeaderParameter(name="Idempotency-Key")]
 
 
 class Entry(Protocol):
-    """What this application needs of the process behind it."""
+    """Interface of the entry process that the application uses."""
 
     core: EntryCore
     exporter: Exporter
@@ -51,24 +51,24 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the balancer should send callers here."""
+        """Whether the load balancer should route callers to this entry."""
 
     def find_max_deadline_seconds(
         self, service: str, tasks: tuple[TaskSpec, ...]
     ) -> float:
-        """Find the longest deadline of some tasks, in seconds."""
+        """Return the longest deadline of the tasks' classes, in seconds."""
 
     async def submit(
         self, service: str, tasks: tuple[TaskSpec, ...], seconds: float
     ) -> Outcome:
-        """Hand a submission over and wait for its outcome."""
+        """Pass a submission to the core and wait for its outcome."""
 
     def drain_agent(self, agent: str, operator: str) -> bool:
-        """Ask an agent to leave; returns whether it is connected."""
+        """Ask an agent to drain; return whether it is connected."""
 
 
 class CallerGoneError(Exception):
-    """The caller hung up; nobody is left to answer."""
+    """The caller disconnected, so no response can be sent."""
 
 
 async def _await_outcome(
@@ -77,33 +77,35 @@
     seconds = process.find_max_deadline_seconds(service, parsed.tasks)
     if parsed.deadline_seconds:
         seconds = min(seconds, parsed.deadline_seconds)
-    work = asyncio.ensure_future(process.submit(service, parsed.tasks, seconds))
-    gone = asyncio.ensure_future(await_disconnect(request.receive))
+    outcome_task = asyncio.ensure_future(process.submit(service, parsed.tasks, seconds))
+    disconnect_task = asyncio.ensure_future(await_disconnect(request.receive))
     try:
-        await asyncio.wait({work, gone}, return_when=asyncio.FIRST_COMPLETED)
-        if work.done():
-            return work.result()
-        work.cancel()
+        await asyncio.wait(
+            {outcome_task, disconnect_task}, return_when=asyncio.FIRST_COMPLETED
+        )
+        if outcome_task.done():
+            return outcome_task.result()
+        outcome_task.cancel()
         raise CallerGoneError
     finally:
-        gone.cancel()
+        disconnect_task.cancel()
 
 
-def _make_handlers(process: Entry) -> list[Any]:
+def _make_caller_handlers(process: Entry) -> list[Any]:
     @post(
         "/v1/services/{service:str}/requests",
         summary="Run one task and answer with the endpoint's answer.",
         status_code=200,
     )
     async def submit_request(
-        service: str, request: Request, idempotency_key: Header = ""
+        service: str, request: Request, idempotency_key: IdempotencyKey = ""
     ) -> Response[bytes]:
-        began = time.monotonic()
+        started_at = time.monotonic()
         parsed = parse_request(await request.body(), idempotency_key)
         if not isinstance(parsed, Success):
-            return _refuse_body(parsed.failure())
+            return _make_body_problem(parsed.failure())
         outcome = await _await_outcome(process, request, service, parsed.unwrap())
-        process.exporter.record("request", time.monotonic() - began)
+        process.exporter.record("request", time.monotonic() - started_at)
         if isinstance(outcome, Failed):
             return make_problem(outcome)
         answer = outcome.answers[0]
@@ -121,13 +123,13 @@
         status_code=200,
     )
     async def submit_job(service: str, request: Request) -> Response[bytes]:
-        began = time.monotonic()
+        started_at = time.monotonic()
         result = parse_job(await request.body())
         if not isinstance(result, Success):
-            return _refuse_body(result.failure())
+            return _make_body_problem(result.failure())
         parsed = result.unwrap()
         outcome = await _await_outcome(process, request, service, parsed)
-        process.exporter.record("job", time.monotonic() - began)
+        process.exporter.record("job", time.monotonic() - started_at)
         if isinstance(outcome, Complete):
             body = encode_job_answer(
                 outcome.submission, parsed.task_ids, outcome.answers
@@ -139,7 +141,7 @@
     return [submit_request, submit_job]
 
 
-def _refuse_body(detail: str) -> Response[bytes]:
+def _make_body_problem(detail: str) -> Response[bytes]:
     return make_request_problem(
         400, "malformed_body", detail, "mend the body; see /schema"
     )
@@ -170,8 +172,10 @@
             return make_request_problem(
                 400, "wrong_revision", expected, "give If-Match a revision"
             )
-        wanted = int(expected.strip('"')) if expected else None
-        apply_request = ApplyRequest(service, text, operator, operation, wanted)
+        expected_revision = int(expected.strip('"')) if expected else None
+        apply_request = ApplyRequest(
+            service, text, operator, operation, expected_revision
+        )
         try:
             revision = await process.registry.apply(apply_request)
         except ConflictError as error:
@@ -184,13 +188,13 @@
 
     @get("/v1/services/{service:str}/document", summary="Show a document in force.")
     async def show_document(service: str) -> Response[bytes]:
-        held = process.core.catalog.find(service)
-        if held is None:
+        installed = process.core.catalog.find(service)
+        if installed is None:
             return make_request_problem(
                 404, "unknown_service", service, "apply its document"
             )
-        headers = {"ETag": f'"{held.revision}"'}
-        text = held.text.encode()
+        headers = {"ETag": f'"{installed.revision}"'}
+        text = installed.text.encode()
         return Response(text, media_type="application/toml", headers=headers)
 
     @get("/v1/status", summary="Show what this entry knows.")
@@ -226,23 +230,26 @@
     return [show_health, show_ready, show_metrics]
 
 
-def _handle_caller_gone(request: Request, error: CallerGoneError) -> Response[bytes]:
+def _handle_caller_disconnect(
+    request: Request, error: CallerGoneError
+) -> Response[bytes]:
     del request, error
     return Response(b"", status_code=499)
 
 
 def make_app(process: Entry) -> Litestar:
-    """Make the application of one entry."""
+    """Create the HTTP application of an entry."""
 
     async def add_connection_header(response: Response) -> Response:
         if process.stopping.is_set():
-            # A kept-alive connection would be closed under its next request.
+            # Otherwise the caller could reuse a keep-alive connection that the
+            # stopping server closes before it answers the next request.
             response.headers["Connection"] = "close"
         return response
 
     return Litestar(
         route_handlers=[
-            *_make_handlers(process),
+            *_make_caller_handlers(process),
             *_make_operator_handlers(process),
             *_make_monitoring_handlers(process),
         ],
@@ -251,7 +258,7 @@
         exception_handlers={
             ClientException: handle_http_error,
             HTTPException: handle_http_error,
-            CallerGoneError: _handle_caller_gone,
+            CallerGoneError: _handle_caller_disconnect,
         },
         openapi_config=OpenAPIConfig(title="godwitbank", version=__version__),
         logging_config=None,
--- a/src/godwitbank/_internal/http/problems.py
+++ b/src/godwitbank/_internal/http/problems.py
@@ -1,4 +1,4 @@
-"""Problem details (RFC 9457) for everything that is refused or fails."""
+"""Problem details (RFC 9457) for refused and failed requests."""
 
 import math
 from typing import TypedDict
@@ -15,7 +15,12 @@
 
 
 class ProblemKind(TypedDict):
-    """What a reason means over HTTP."""
+    """HTTP representation of a failure reason.
+
+    :param status: HTTP status code.
+    :param title: title of the problem.
+    :param remedy: what the caller can do.
+    """
 
     status: int
     title: str
@@ -26,8 +31,8 @@
     return ProblemKind(status=status, title=title, remedy=remedy)
 
 
-_AGAIN = "submit again after the time in Retry-After"
-_CHECK = (
+_RETRY_LATER = "submit again after the time in Retry-After"
+_CHECK_FIRST = (
     "check what happened before submitting again;"
     " with the same request id no work runs twice"
 )
@@ -40,28 +45,31 @@
     Reason.MISSING_REQUEST_ID: _make_kind(
         422, "missing request id", "send request_id or Idempotency-Key"
     ),
-    Reason.NOT_READY: _make_kind(503, "not ready", _AGAIN),
+    Reason.NOT_READY: _make_kind(503, "not ready", _RETRY_LATER),
     Reason.STOPPING: _make_kind(503, "stopping", "submit again to another entry"),
-    Reason.NO_PROCESSOR: _make_kind(503, "no processor time left", _AGAIN),
-    Reason.QUOTA: _make_kind(429, "quota exceeded", _AGAIN),
-    Reason.QUEUE_FULL: _make_kind(503, "queue full", _AGAIN),
-    Reason.DEADLINE_UNREACHABLE: _make_kind(503, "deadline unreachable", _AGAIN),
-    Reason.DEADLINE_PASSED: _make_kind(504, "deadline passed", _CHECK),
-    Reason.NO_ENDPOINT: _make_kind(503, "no endpoint", _AGAIN),
-    Reason.STORE_UNAVAILABLE: _make_kind(503, "store unavailable", _AGAIN),
+    Reason.NO_PROCESSOR: _make_kind(503, "no processor time left", _RETRY_LATER),
+    Reason.QUOTA: _make_kind(429, "quota exceeded", _RETRY_LATER),
+    Reason.QUEUE_FULL: _make_kind(503, "queue full", _RETRY_LATER),
+    Reason.DEADLINE_UNREACHABLE: _make_kind(503, "deadline unreachable", _RETRY_LATER),
+    Reason.DEADLINE_PASSED: _make_kind(504, "deadline passed", _CHECK_FIRST),
+    Reason.NO_ENDPOINT: _make_kind(503, "no endpoint", _RETRY_LATER),
+    Reason.STORE_UNAVAILABLE: _make_kind(503, "store unavailable", _RETRY_LATER),
     Reason.DUPLICATE_REQUEST: _make_kind(
         409, "request id was used before", "look up what the first request did"
     ),
-    Reason.ENDPOINT_FAILED: _make_kind(502, "endpoint failed", _CHECK),
-    Reason.TASK_TIMEOUT: _make_kind(504, "task timed out", _CHECK),
-    Reason.OUTCOME_UNKNOWN: _make_kind(502, "outcome unknown", _CHECK),
-    Reason.CANCELLED: _make_kind(499, "cancelled", _CHECK),
-    Reason.RETRIES_EXHAUSTED: _make_kind(503, "retries exhausted", _AGAIN),
+    Reason.ENDPOINT_FAILED: _make_kind(502, "endpoint failed", _CHECK_FIRST),
+    Reason.TASK_TIMEOUT: _make_kind(504, "task timed out", _CHECK_FIRST),
+    Reason.OUTCOME_UNKNOWN: _make_kind(502, "outcome unknown", _CHECK_FIRST),
+    Reason.CANCELLED: _make_kind(499, "cancelled", _CHECK_FIRST),
+    Reason.RETRIES_EXHAUSTED: _make_kind(503, "retries exhausted", _RETRY_LATER),
 }
 
 
 def make_problem(failed: Failed, task_name: str | None = None) -> Response[bytes]:
-    """Make the response for a failed submission."""
+    """Make the response for a failed submission.
+
+    :param task_name: the caller's id of the task that failed, if it is known.
+    """
     kind = PROBLEM_KINDS[failed.reason]
     body = {
         "type": TYPE_PREFIX + failed.reason,
@@ -84,7 +92,13 @@
 def make_request_problem(
     status: int, name: str, detail: str, remedy: str, ran: str = Ran.NOT_RUN
 ) -> Response[bytes]:
-    """Make the response for a request that could not be understood or served."""
+    """Make the response for a request that is invalid or can't be served.
+
+    :param name: kind of the problem, the last part of its type URN.
+    :param detail: what is wrong with this request.
+    :param remedy: what the caller can do.
+    :param ran: whether any task may have run.
+    """
     body = {
         "type": TYPE_PREFIX + name,
         "title": name.replace("_", " "),
@@ -97,7 +111,7 @@
 
 
 def handle_http_error(request: Request, error: HTTPException) -> Response[bytes]:
-    """Turn the framework's own refusals into problem details."""
+    """Convert errors raised by Litestar into problem details."""
     del request
     names = {413: "body_too_large", 404: "not_found", 405: "method_not_allowed"}
     name = names.get(error.status_code, "bad_request")
--- a/tests/http/__init__.py
+++ b/tests/http/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the HTTP faces."""
+"""Tests of the HTTP interfaces."""
