--- a/bench/lab/play.py
+++ b/bench/lab/play.py
@@ -341,7 +341,7 @@
             cores = self._measure_endpoint(endpoint)
             if endpoint is None or not cores:
                 continue
-            used = len(endpoint.alive) * self._scenario.cpu
+            used = len(endpoint.active_runs) * self._scenario.cpu
             total += cores
             free += cores * max(0.0, 1 - used / endpoint.capacity.cpu)
         return free / total if total else 0.0
@@ -396,7 +396,7 @@
     def _measure_waste(self) -> float:
         wasted = total = 0.0
         for endpoint in self.world.endpoints.values():
-            for life in endpoint.lives if endpoint else ():
+            for life in endpoint.ended_runs if endpoint else ():
                 spent = life.ended - life.began
                 total += spent
                 wasted += 0.0 if life.end == "done" else spent
--- a/bench/policies.py
+++ b/bench/policies.py
@@ -92,19 +92,20 @@
     folder: Path, policy: Policy, deployment: Deployment, agents: int = AGENTS
 ) -> tuple[Fleet, list[str]]:
     """Start a deployment; returns it and the callers' URLs."""
-    fleet = Fleet(folder, delay=deployment.between)
+    fleet = Fleet(folder, delay_seconds=deployment.between)
     for _ in range(ENTRIES):
         fleet.start_entry(wait=False, baseline=policy.baseline)
-    fleet.balance()
+    fleet.update_balancer()
     for entry in fleet.entries:
-        fleet.await_ready(entry)
-    applied = fleet.operate("apply", str(write_document(folder, policy)))
+        fleet.wait_ready(entry)
+    applied = fleet.run_operator_command("apply", str(write_document(folder, policy)))
     assert applied.returncode == 0, applied.stderr
     for _ in range(agents):
         fleet.start_endpoint(fleet.start_agent(proxied=True), slots=SLOTS)
-    fleet.await_agents(agents)
+    fleet.wait_for_agents(agents)
     ports = [
-        fleet.proxy(entry.http, delay=deployment.client) for entry in fleet.entries
+        fleet.start_proxy(entry.http_port, delay_seconds=deployment.client)
+        for entry in fleet.entries
     ]
     return fleet, [f"http://127.0.0.1:{port}/v1/services/desk" for port in ports]
 
@@ -113,7 +114,9 @@
     """Add up the counters of all entries and agents."""
     total: Counter[str] = Counter()
     for running in [*fleet.entries, *fleet.agents]:
-        text = httpx.get(f"http://127.0.0.1:{running.http}/metrics", timeout=10).text
+        text = httpx.get(
+            f"http://127.0.0.1:{running.http_port}/metrics", timeout=10
+        ).text
         for line in text.splitlines():
             name, _, rest = line.partition("_total{")
             if rest and not line.startswith("#"):
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -18,7 +18,7 @@
 from typing import Any, NamedTuple
 
 import httpx
-from standins.fleet import Fleet, Running, pick_port, wait_for
+from standins.fleet import Fleet, ManagedProcess, pick_port, wait_for
 
 from bench.policies import POLICIES, write_document
 from godwitbank._internal.core.catalog import Catalog
@@ -76,7 +76,7 @@
     return slope
 
 
-def read_cpu(running: Running) -> float:
+def read_cpu(running: ManagedProcess) -> float:
     """Read the processor time of a process, in seconds.
 
     From the scheduler's nanoseconds: the usual counters come in ticks of 10 ms,
@@ -87,7 +87,7 @@
     return sum(times) / 1e9
 
 
-def read_memory(running: Running) -> float:
+def read_memory(running: ManagedProcess) -> float:
     """Read the resident memory of a process, in bytes."""
     pages = Path(f"/proc/{running.process.pid}/statm").read_text().split()[1]
     return int(pages) * 4096
@@ -99,22 +99,22 @@
 def _start_entry(folder: str, **settings: Any) -> Fleet:
     fleet = Fleet(Path(folder))
     fleet.start_entry(**settings)
-    fleet.balance()
+    fleet.update_balancer()
     document = write_document(Path(folder), POLICIES[-1])
     text = document.read_text().replace("slots = 8", "slots = 64")
     document.write_text(text)
-    applied = fleet.operate("apply", str(document))
+    applied = fleet.run_operator_command("apply", str(document))
     assert applied.returncode == 0, applied.stderr
     return fleet
 
 
 def _start_stubs(fleet: Fleet, count: int, processes: int) -> None:
-    entry = f"127.0.0.1:{fleet.entries[0].stream}"
+    entry = f"127.0.0.1:{fleet.entries[0].stream_port}"
     for number in range(processes):
         share = count // processes + (number < count % processes)
         first = pick_port()
         # Consecutive ports; a clash would show as agents missing below.
-        fleet._run(
+        fleet.start_process(
             f"stubs-{number}",
             "-m",
             "bench.stubs",
@@ -123,7 +123,7 @@
             entry,
             str(first + 40 + number * 500),
         )
-    fleet.await_agents(count)
+    fleet.wait_for_agents(count)
 
 
 async def _send_jobs(url: str, rate: float, size: int, seconds: float) -> int:
@@ -152,7 +152,7 @@
         fleet = _start_entry(folder)
         try:
             _start_stubs(fleet, 12, STUB_PROCESSES)
-            url = f"http://127.0.0.1:{fleet.entries[0].http}/v1/services/desk/jobs"
+            url = f"http://127.0.0.1:{fleet.entries[0].http_port}/v1/services/desk/jobs"
             for rate in RATES if size > 1 else REQUEST_RATES:
                 before, began = read_cpu(fleet.entries[0]), time.monotonic()
                 done = asyncio.run(_send_jobs(url, rate, size, 5.0))
@@ -170,7 +170,7 @@
         fleet = _start_entry(folder)
         try:
             _start_stubs(fleet, 12, STUB_PROCESSES)
-            url = f"http://127.0.0.1:{fleet.entries[0].http}/v1/services/desk/jobs"
+            url = f"http://127.0.0.1:{fleet.entries[0].http_port}/v1/services/desk/jobs"
             began = time.monotonic()
             done = asyncio.run(_send_jobs(url, 6000, 100, 4.0))
             rate = done / (time.monotonic() - began)
@@ -212,8 +212,10 @@
             try:
                 agent = fleet.start_agent()
                 fleet.start_endpoint(agent)
-                address = f"127.0.0.1:{agent.stream}"
-                fleet._run("stubs", "-m", "bench.stubs", "entries", str(count), address)
+                address = f"127.0.0.1:{agent.stream_port}"
+                fleet.start_process(
+                    "stubs", "-m", "bench.stubs", "entries", str(count), address
+                )
                 time.sleep(SETTLE_SECONDS)
                 before, began = read_cpu(agent), time.monotonic()
                 time.sleep(6.0)
@@ -236,8 +238,8 @@
         try:
             agent = fleet.start_agent()
             fleet.start_endpoint(agent, slots=64)
-            fleet.await_agents(1)
-            url = f"http://127.0.0.1:{fleet.entries[0].http}/v1/services/desk/jobs"
+            fleet.wait_for_agents(1)
+            url = f"http://127.0.0.1:{fleet.entries[0].http_port}/v1/services/desk/jobs"
             for rate in (20, 40, 80, 120, 160):
                 before, began = read_cpu(agent), time.monotonic()
                 done = asyncio.run(_send_jobs(url, rate, 10, 5.0))
@@ -257,11 +259,11 @@
             for entries in (1, 2, 4, 6):
                 while len(fleet.entries) < entries:
                     fleet.start_entry()
-                fleet.balance()
+                fleet.update_balancer()
                 agents = entries * 2
                 while len(fleet.agents) < agents:
                     fleet.start_endpoint(fleet.start_agent())
-                fleet.await_agents(agents)
+                fleet.wait_for_agents(agents)
                 points.append((float(entries + agents), _time_apply(fleet, folder)))
         finally:
             fleet.stop()
@@ -270,13 +272,13 @@
 
 
 def _time_apply(fleet: Fleet, folder: str) -> float:
-    applied = fleet.operate("apply", str(Path(folder) / "bench.toml"))
+    applied = fleet.run_operator_command("apply", str(Path(folder) / "bench.toml"))
     began = time.monotonic()
     revision = int(applied.stdout.split()[-1])
 
     def spread() -> bool:
         everyone = [
-            httpx.get(f"http://127.0.0.1:{each.http}/v1/{path}").json()
+            httpx.get(f"http://127.0.0.1:{each.http_port}/v1/{path}").json()
             for path, many in (("status", fleet.entries), ("endpoint", fleet.agents))
             for each in many
         ]
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -11,11 +11,11 @@
 from typing import Any
 
 import httpx
-from standins.fleet import Fleet, Running
+from standins.fleet import Fleet, ManagedProcess
 
 HERE = Path(__file__).parent
-TASKS = 460
-REQUESTS = 40
+TASK_COUNT = 460
+REQUEST_COUNT = 40
 
 
 class Tally:
@@ -41,9 +41,9 @@
             "class": kind,
             "payload": {"run_ms": chance.randint(50, 1000), "nonce": f"n{number}"},
         }
-        for number in range(TASKS)
+        for number in range(TASK_COUNT)
     ]
-    tally.tasks += TASKS
+    tally.tasks += TASK_COUNT
     began = time.monotonic()
     url = f"{base}/v1/services/{service}/jobs"
     answer = httpx.post(url, json={"tasks": tasks}, timeout=60)
@@ -59,7 +59,7 @@
     """Submit single, non-idempotent requests one after the other."""
     took = []
     with httpx.Client(base_url=base, timeout=60) as client:
-        for number in range(REQUESTS):
+        for number in range(REQUEST_COUNT):
             nonce = f"{service}-{number}"
             body = {"class": kind, "payload": {"run_ms": 60, "nonce": nonce}}
             headers = {"Idempotency-Key": nonce}
@@ -89,17 +89,17 @@
     median = submit_requests(base, service, kind, tally)
     thread.join()
     print(
-        f"  {service}: {REQUESTS} single requests, median {median * 1000:.0f} ms;"
-        f" a job of {TASKS} tasks in {times[0]:.1f} s"
+        f"  {service}: {REQUEST_COUNT} single requests, median {median * 1000:.0f} ms;"
+        f" a job of {TASK_COUNT} tasks in {times[0]:.1f} s"
     )
 
 
-def count_twice(fleet: Fleet, endpoints: list[Running]) -> int:
+def count_duplicate_starts(fleet: Fleet, endpoints: list[ManagedProcess]) -> int:
     """Count tasks and idempotency keys that started more than once."""
     tasks: Counter[str] = Counter()
     keys: Counter[str] = Counter()
     for endpoint in endpoints:
-        written = fleet.record(endpoint)
+        written = fleet.read_record(endpoint)
         tasks.update(written["tasks"])
         keys.update(written["keys"])
     return sum(count > 1 for counts in (tasks, keys) for count in counts.values())
@@ -115,25 +115,25 @@
         print("starting: platform, two entries, three agents a service, endpoints")
         for zone in ("a", "b"):
             fleet.start_entry(zone, wait=False)
-        fleet.balance()
+        fleet.update_balancer()
         for entry in fleet.entries:
-            fleet.await_ready(entry)
+            fleet.wait_ready(entry)
         for service in ("desk", "sheets"):
-            applied = fleet.operate("apply", str(HERE / f"{service}.toml"))
+            applied = fleet.run_operator_command("apply", str(HERE / f"{service}.toml"))
             print(" ", (applied.stdout or applied.stderr).strip())
             for zone in ("a", "b", "c"):
                 agent = fleet.start_agent(zone)
                 fleet.start_endpoint(agent, service)
-        fleet.await_agents(3, "desk")
-        fleet.await_agents(3, "sheets")
-        waited = fleet.operate("wait", "--service=sheets", "--revision=2")
+        fleet.wait_for_agents(3, "desk")
+        fleet.wait_for_agents(3, "sheets")
+        waited = fleet.run_operator_command("wait", "--service=sheets", "--revision=2")
         print(" ", waited.stdout.strip())
         print("working, while agent-1 is drained")
         drains: list[str] = []
 
         def drain() -> None:
             time.sleep(1.0)
-            drains.append(fleet.operate("drain", "agent-1").stdout.strip())
+            drains.append(fleet.run_operator_command("drain", "agent-1").stdout.strip())
 
         drainer = threading.Thread(target=drain)
         drainer.start()
@@ -141,8 +141,8 @@
         run_deployment(fleet, "sheets", "sign-off", tally)
         drainer.join()
         print(" ", drains[0])
-        print(fleet.operate("status").stdout.rstrip())
-        twice = count_twice(fleet, fleet.endpoints)
+        print(fleet.run_operator_command("status").stdout.rstrip())
+        twice = count_duplicate_starts(fleet, fleet.endpoints)
         print("stopping gracefully")
     finally:
         fleet.stop()
--- a/demo/stay.py
+++ b/demo/stay.py
@@ -15,13 +15,13 @@
     fleet = Fleet(Path("run/stay"))
     try:
         entry = fleet.start_entry(wait=False)
-        fleet.balance()
-        fleet.await_ready(entry)
-        fleet.operate("apply", str(HERE / "desk.toml"))
+        fleet.update_balancer()
+        fleet.wait_ready(entry)
+        fleet.run_operator_command("apply", str(HERE / "desk.toml"))
         for _ in range(2):
             fleet.start_endpoint(fleet.start_agent())
-        fleet.await_agents(2)
-        print(f"entry: 127.0.0.1:{entry.http}; stop with Ctrl-C", flush=True)
+        fleet.wait_for_agents(2)
+        print(f"entry: 127.0.0.1:{entry.http_port}; stop with Ctrl-C", flush=True)
         signal.pause()
     except KeyboardInterrupt:
         print("stopping")
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -8,7 +8,7 @@
 
 from absl import app, flags, logging
 
-from soak.play import Outcome, play
+from soak.play import SeedResult, run_seed
 
 _FIRST = flags.DEFINE_integer("first", 1, "First seed.", lower_bound=0)
 _SEEDS = flags.DEFINE_integer("seeds", 4, "Number of seeds.", lower_bound=1)
@@ -21,12 +21,12 @@
 
 def _play(
     seed: int, seconds: float, folder: Path, entries: int, agents: int
-) -> Outcome:
+) -> SeedResult:
     try:
-        return play(seed, seconds, folder / str(seed), entries, agents)
+        return run_seed(seed, seconds, folder / str(seed), entries, agents)
     except Exception:  # noqa: BLE001
         # A seed that can't be played to its end is a finding like any other.
-        return Outcome(seed, [traceback.format_exc()], [], 0, 0)
+        return SeedResult(seed, [traceback.format_exc()], [], 0, 0)
 
 
 def main(arguments: list[str]) -> None:
@@ -45,12 +45,17 @@
         ]
         for each in plays:
             outcome = each.result()
-            failed += bool(outcome.faults)
-            verdict = "FAILED" if outcome.faults else "held"
+            failed += bool(outcome.violations)
+            verdict = "FAILED" if outcome.violations else "held"
             print(f"seed {outcome.seed}: {verdict}, {outcome.jobs} jobs", flush=True)
-            print(f"  {outcome.runs} runs, {len(outcome.begun)} faults", flush=True)
-            if outcome.faults:
-                print("  " + "\n  ".join([*outcome.faults, *outcome.begun]))
+            print(
+                f"  {outcome.runs} runs, {len(outcome.injected_faults)} faults",
+                flush=True,
+            )
+            if outcome.violations:
+                print(
+                    "  " + "\n  ".join([*outcome.violations, *outcome.injected_faults])
+                )
     print(f"{failed} of {len(seeds)} seeds broke a promise; logs in {folder}")
     sys.exit(1 if failed else 0)
 
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -2,21 +2,21 @@
 
 from collections.abc import Iterator
 
-from soak.records import Attempt, Run, Taken, group_by_job, group_by_task
+from soak.records import Attempt, JobEvent, Run, group_by_job, group_by_task
 
-DRAIN_SECONDS = 2.0
+DRAIN_BOUND_SECONDS = 2.0
 """Seconds after the acknowledgement of a drain in which starts may still come
 (users' bound)."""
 
-EVACUATION_SECONDS = 5.0
+EVACUATION_BOUND_SECONDS = 5.0
 """Seconds after a zone's evacuation in which runs may still start there (users'
 bound)."""
 
-REFUSED = (429, 503)
+REFUSAL_STATUSES = (429, 503)
 
 
-def find_faults(
-    attempts: list[Attempt], runs: list[Run], taken: list[Taken], cores: int
+def find_violations(
+    attempts: list[Attempt], runs: list[Run], taken: list[JobEvent], cores: int
 ) -> list[str]:
     """Say which promises were broken, each with what shows it.
 
@@ -48,20 +48,20 @@
 
 def _find_overfull(runs: list[Run], cores: int) -> Iterator[str]:
     for run in runs:
-        if run.alive > cores:
-            yield f"{run.endpoint} ran {run.alive} at once when {run.task} began"
+        if run.active_runs > cores:
+            yield f"{run.endpoint} ran {run.active_runs} at once when {run.task} began"
 
 
 def _find_after_drain(runs: list[Run]) -> Iterator[str]:
     for run in runs:
-        drained = run.drain_heard_at + DRAIN_SECONDS
+        drained = run.drain_heard_at + DRAIN_BOUND_SECONDS
         if run.drain_heard_at and not run.late and run.began > drained:
             yield f"{run.task} began {run.began - drained:.3f} s after the drain"
 
 
 def _find_after_evacuation(runs: list[Run]) -> Iterator[str]:
     for run in runs:
-        bound = run.evacuated_at + EVACUATION_SECONDS
+        bound = run.evacuated_at + EVACUATION_BOUND_SECONDS
         if run.evacuated_at and not run.late and run.began > bound:
             yield f"{run.task} began {run.began - bound:.3f} s late in an emptied zone"
 
@@ -69,7 +69,7 @@
 def _find_false_refusals(attempts: list[Attempt], runs: list[Run]) -> Iterator[str]:
     started = {run.job for run in runs}
     for job, tries in group_by_job(attempts).items():
-        if job in started and all(each.status in REFUSED for each in tries):
+        if job in started and all(each.status in REFUSAL_STATUSES for each in tries):
             yield f"{job} was refused at every try as not run, and ran"
 
 
@@ -84,7 +84,7 @@
             yield f"{attempt.job} was called completed without {missing}"
 
 
-def _find_cut(attempts: list[Attempt], taken: list[Taken]) -> Iterator[str]:
+def _find_cut(attempts: list[Attempt], taken: list[JobEvent]) -> Iterator[str]:
     for attempt in attempts:
         # What no process has read was not cut by one; it came after its end.
         read = any(
@@ -92,5 +92,5 @@
             and attempt.sent_at <= each.at <= attempt.ended_at
             for each in taken
         )
-        if attempt.planned and attempt.status == 0 and read:
+        if attempt.planned_only and attempt.status == 0 and read:
             yield f"{attempt.job} was cut at {attempt.entry} by planned work alone"
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -11,15 +11,15 @@
 from soak.fleet import SoakFleet
 from soak.records import Attempt
 
-COME_AGAIN_SECONDS = 1.3
+RETRY_AFTER_SECONDS = 1.3
 """Wait of a caller after a broken connection (users' figure)."""
 
-PATIENCE_SECONDS = 10.0
-TRIES = 4
-TWICE = 0.15
+TIMEOUT_SECONDS = 10.0
+MAX_ATTEMPTS = 4
+DUPLICATE_SHARE = 0.15
 """Share of the jobs that are handed in at two entries at once."""
 
-PAUSE_SECONDS = 0.15
+MEAN_PAUSE_SECONDS = 0.15
 """Mean wait of a caller between two jobs; four of them fill some two thirds of a
 deployment of three endpoints."""
 
@@ -31,9 +31,9 @@
     """
 
     def __init__(
-        self, fleet: SoakFleet, seed: int, count: int, twice: bool = True
+        self, fleet: SoakFleet, seed: int, count: int, duplicates: bool = True
     ) -> None:
-        self._twice = twice
+        self._duplicates = duplicates
         self.attempts: list[Attempt] = []
         self._fleet = fleet
         self._stop = threading.Event()
@@ -45,7 +45,7 @@
         for thread in self._threads:
             thread.start()
 
-    def set_planned(self, planned: bool) -> None:
+    def set_planned_only(self, planned: bool) -> None:
         """Note that from now on nothing but planned work is under way, or not."""
         self._planned_since = read_boot_time() if planned else None
 
@@ -63,31 +63,31 @@
             while not self._stop.is_set():
                 number += 1
                 self._hand_in(client, rng, f"{caller:04x}{number:012x}")
-                self._stop.wait(rng.expovariate(1 / PAUSE_SECONDS))
+                self._stop.wait(rng.expovariate(1 / MEAN_PAUSE_SECONDS))
 
     def _hand_in(self, client: httpx.Client, rng: Random, job: str) -> None:
         width = rng.choice((1, 2, 2, 4, 8))
         body = make_body(width, rng.choice((0.05, 0.1, 0.1, 0.4, 1.2)))
         several = len(self._fleet.entries) > 1
-        if self._twice and several and rng.random() < TWICE:
+        if self._duplicates and several and rng.random() < DUPLICATE_SHARE:
             self._hand_in_twice(client, rng, job, width, body)
             return
-        until = read_boot_time() + PATIENCE_SECONDS
-        for _ in range(TRIES):
+        until = read_boot_time() + TIMEOUT_SECONDS
+        for _ in range(MAX_ATTEMPTS):
             entry = rng.choice(self._fleet.entries)
             attempt = self._try(client, job, width, body, entry, until)
             self.attempts.append(attempt)
             broken = attempt.status in (0, 502, 504)
-            if not broken or read_boot_time() + COME_AGAIN_SECONDS > until:
+            if not broken or read_boot_time() + RETRY_AFTER_SECONDS > until:
                 return
-            time.sleep(COME_AGAIN_SECONDS)
+            time.sleep(RETRY_AFTER_SECONDS)
 
     def _hand_in_twice(
         self, client: httpx.Client, rng: Random, job: str, width: int, body: str
     ) -> None:
         """Hand a job in at two entries at once, as a retry in a balancer may."""
         first, second = rng.sample(self._fleet.entries, 2)
-        until = read_boot_time() + PATIENCE_SECONDS
+        until = read_boot_time() + TIMEOUT_SECONDS
 
         def hand_in(entry: str) -> None:
             attempt = self._try(client, job, width, body, entry, until)
@@ -108,7 +108,7 @@
         until: float,
     ) -> Attempt:
         fleet = self._fleet
-        url = f"http://{fleet.find_advertised(entry)}:{fleet.front}/checks/{job}"
+        url = f"http://{fleet.find_advertised_ip(entry)}:{fleet.front}/checks/{job}"
         sent_at = read_boot_time()
         left = max(0.5, until - sent_at)
         headers = {"Host": "desk.example", "Deadline-Ms": str(int(left * 1000))}
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -13,14 +13,14 @@
 Undo = Callable[[], None]
 
 
-class Begun(NamedTuple):
+class InjectedFault(NamedTuple):
     """A fault that was begun.
 
     :param seconds: how long it lasts.
     :param undo: ends it.
     """
 
-    what: str
+    description: str
     seconds: float
     undo: Undo
 
@@ -29,14 +29,14 @@
     return
 
 
-class Faults:
+class FaultInjector:
     """Draws faults and brings them upon a deployment.
 
     :param newer: whether the newer kinds come, too: zones that are emptied, connections
         that all go silent. Without, a seed draws the same faults as before them.
     """
 
-    def __init__(self, fleet: SoakFleet, rng: Random, newer: bool = True) -> None:
+    def __init__(self, fleet: SoakFleet, rng: Random, extended: bool = True) -> None:
         self._fleet = fleet
         self._rng = rng
         self._kinds = (
@@ -56,10 +56,10 @@
             self._drain,
             self._disturb_store,
             self._kill_all_entries,
-            *([self._empty_zone, self._silence] if newer else []),
+            *([self._empty_zone, self._silence] if extended else []),
         )
 
-    def begin(self) -> Begun:
+    def inject(self) -> InjectedFault:
         """Draw a fault and begin it."""
         return self._rng.choice(self._kinds)()
 
@@ -78,117 +78,127 @@
         routes += [(name, "store") for name in fleet.entries + fleet.agents]
         return self._rng.choice(routes)
 
-    def _kill(self) -> Begun:
+    def _kill(self) -> InjectedFault:
         name = self._pick()
-        self._fleet.end_process(name)
+        self._fleet.stop_process(name)
         seconds = self._rng.choice((0.1, 0.6, 3.0))
-        return Begun(f"kill {name}", seconds, lambda: self._fleet.start_process(name))
+        return InjectedFault(
+            f"kill {name}", seconds, lambda: self._fleet.start_process(name)
+        )
 
-    def _kill_all_entries(self) -> Begun:
+    def _kill_all_entries(self) -> InjectedFault:
         for name in self._fleet.entries:
-            self._fleet.end_process(name)
-        return Begun("kill all entries", 0.8, self._start_entries)
+            self._fleet.stop_process(name)
+        return InjectedFault("kill all entries", 0.8, self._start_entries)
 
     def _start_entries(self) -> None:
         for name in self._fleet.entries:
             self._fleet.start_process(name)
 
-    def _pause(self) -> Begun:
+    def _pause(self) -> InjectedFault:
         name = self._pick()
-        self._fleet.pause(name, True)
+        self._fleet.set_paused(name, True)
         seconds = self._rng.choice((0.3, 0.9, 2.0, 4.0))
-        return Begun(f"pause {name}", seconds, lambda: self._fleet.pause(name, False))
+        return InjectedFault(
+            f"pause {name}", seconds, lambda: self._fleet.set_paused(name, False)
+        )
 
-    def _stop(self) -> Begun:
+    def _stop(self) -> InjectedFault:
         name = self._rng.choice(self._fleet.entries + self._fleet.agents)
-        self._fleet.end_process(name, signal.SIGTERM)
-        return Begun(f"stop {name}", 6.0, lambda: self._replace(name))
+        self._fleet.stop_process(name, signal.SIGTERM)
+        return InjectedFault(f"stop {name}", 6.0, lambda: self._replace(name))
 
     def _replace(self, name: str) -> None:
-        self._fleet.end_process(name)
+        self._fleet.stop_process(name)
         self._fleet.start_process(name)
 
-    def _reload(self) -> Begun:
+    def _reload(self) -> InjectedFault:
         name = self._rng.choice(self._fleet.entries + self._fleet.agents)
         running = self._fleet.processes[name].poll() is None
-        if running and not self._fleet.is_deaf_to_reloads(name):
+        if running and not self._fleet.lacks_sighup_handler(name):
             self._fleet.kill(name, signal.SIGHUP)
-        return Begun(f"reload {name}", 0.0, _do_nothing)
+        return InjectedFault(f"reload {name}", 0.0, _do_nothing)
 
-    def _hold(self) -> Begun:
+    def _hold(self) -> InjectedFault:
         name, kind = self._pick_route()
         way = self._rng.choice(("to_target", "to_client", "both"))
-        self._fleet.command(name, kind, hold=way)
+        self._fleet.command_proxy(name, kind, hold=way)
         seconds = self._rng.choice((0.3, 1.0, 3.0))
-        return Begun(
+        return InjectedFault(
             f"hold {kind} of {name}, {way}",
             seconds,
             lambda: self._release(name, kind),
         )
 
     def _release(self, name: str, kind: str) -> None:
-        self._fleet.command(name, kind, hold="none")
+        self._fleet.command_proxy(name, kind, hold="none")
 
-    def _freeze(self) -> Begun:
+    def _freeze(self) -> InjectedFault:
         name, kind = self._pick_route()
         way = self._rng.choice(("to_target", "to_client", "both"))
         link = self._rng.randrange(100)
-        self._fleet.command(name, kind, freeze=way, link=link)
-        return Begun(f"freeze {kind} {link} of {name}, {way}", 0.0, _do_nothing)
+        self._fleet.command_proxy(name, kind, freeze=way, link=link)
+        return InjectedFault(f"freeze {kind} {link} of {name}, {way}", 0.0, _do_nothing)
 
-    def _silence(self) -> Begun:
-        self._fleet.silence()
-        return Begun("silence all connections", 0.0, _do_nothing)
+    def _silence(self) -> InjectedFault:
+        self._fleet.freeze_connections()
+        return InjectedFault("silence all connections", 0.0, _do_nothing)
 
-    def _cut(self) -> Begun:
+    def _cut(self) -> InjectedFault:
         name, kind = self._pick_route()
-        self._fleet.command(name, kind, cut=True)
-        return Begun(f"cut {kind} of {name}", 0.0, _do_nothing)
+        self._fleet.command_proxy(name, kind, cut=True)
+        return InjectedFault(f"cut {kind} of {name}", 0.0, _do_nothing)
 
-    def _delay(self) -> Begun:
+    def _delay(self) -> InjectedFault:
         name, kind = self._pick_route()
         delay = self._rng.choice((0.02, 0.1, 0.3))
-        self._fleet.command(name, kind, delay=delay)
-        return Begun(
+        self._fleet.command_proxy(name, kind, delay=delay)
+        return InjectedFault(
             f"delay {kind} of {name} by {delay}",
             self._rng.choice((1.0, 4.0)),
             lambda: self._end_delay(name, kind),
         )
 
     def _end_delay(self, name: str, kind: str) -> None:
-        self._fleet.command(name, kind, delay=0.0)
+        self._fleet.command_proxy(name, kind, delay=0.0)
 
-    def _lose_orders(self) -> Begun:
+    def _lose_orders(self) -> InjectedFault:
         name = self._rng.choice(self._fleet.agents)
         after = self._rng.choice((0.0, 0.5, 3.0))
         self._set(name, lose_starts=self._rng.randint(1, 4), carry_out_after=after)
-        return Begun(f"lose orders of {name}, late by {after}", 0.0, _do_nothing)
+        return InjectedFault(
+            f"lose orders of {name}, late by {after}", 0.0, _do_nothing
+        )
 
-    def _make_grey(self) -> Begun:
+    def _make_grey(self) -> InjectedFault:
         name = self._rng.choice(self._fleet.agents)
         how = self._rng.choice(
             ({"fails": True}, {"hangs": True}, {"speed": 5.0}, {"unhealthy": True})
         )
         self._set(name, **how)
-        return Begun(f"{how} at {name}", 3.0, lambda: self._set(name))
+        return InjectedFault(f"{how} at {name}", 3.0, lambda: self._set(name))
 
-    def _drain(self) -> Begun:
+    def _drain(self) -> InjectedFault:
         name = self._rng.choice(self._fleet.agents)
         self._set(name, draining=True)
-        return Begun(f"drain {name}", 4.0, lambda: self._replace(f"{name}-endpoint"))
+        return InjectedFault(
+            f"drain {name}", 4.0, lambda: self._replace(f"{name}-endpoint")
+        )
 
-    def _empty_zone(self) -> Begun:
+    def _empty_zone(self) -> InjectedFault:
         zone = f"zone-{self._rng.randint(1, ZONES)}"
-        self._fleet.empty_zone(zone)
+        self._fleet.evacuate_zone(zone)
         seconds = self._rng.choice((0.5, 4.0, 7.0))
-        return Begun(f"empty {zone}", seconds, lambda: self._fleet.return_zone(zone))
+        return InjectedFault(
+            f"empty {zone}", seconds, lambda: self._fleet.end_zone_evacuation(zone)
+        )
 
     def _set(self, name: str, **knobs: object) -> None:
         # An endpoint that is down or paused doesn't hear it; the fault is void.
         with contextlib.suppress(httpx.HTTPError):
-            self._fleet.set_endpoint(name, **knobs)
+            self._fleet.control_endpoint(name, **knobs)
 
-    def _disturb_store(self) -> Begun:
+    def _disturb_store(self) -> InjectedFault:
         fleet = self._fleet
         away = [fleet.find_ip(name) for name in fleet.entries[:1]]
         how = self._rng.choice(
@@ -200,25 +210,25 @@
                 {"oldest": 0},
             )
         )
-        fleet.set_store(**how)
-        return Begun(f"store {how}", 3.0, self._restore_store)
+        fleet.control_store(**how)
+        return InjectedFault(f"store {how}", 3.0, self._restore_store)
 
     def _restore_store(self) -> None:
-        self._fleet.set_store(turned_away=[], silent=False, lose_answers=0)
+        self._fleet.control_store(turned_away=[], silent=False, lose_answers=0)
 
-    def heal(self) -> None:
+    def restore_all(self) -> None:
         """End whatever may still be wrong."""
         fleet = self._fleet
         self._restore_store()
         for number in range(1, ZONES + 1):
-            fleet.return_zone(f"zone-{number}")
+            fleet.end_zone_evacuation(f"zone-{number}")
         for name in fleet.entries + fleet.agents:
             for kind in ("front", "inner", "app", "control", "store"):
-                fleet.command(name, kind, hold="none", delay=0.0)
+                fleet.command_proxy(name, kind, hold="none", delay=0.0)
         for name in fleet.agents:
-            fleet.pause(f"{name}-endpoint", False)
+            fleet.set_paused(f"{name}-endpoint", False)
             self._replace(f"{name}-endpoint")
         for name in fleet.entries + fleet.agents:
-            fleet.pause(name, False)
-            if name in fleet.ended_at or name in fleet.list_dead():
+            fleet.set_paused(name, False)
+            if name in fleet.ended_at or name in fleet.list_unexpected_exits():
                 self._replace(name)
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -13,7 +13,7 @@
 ZONES = 2
 """Availability zones that processes stand in by turns."""
 
-KINDS = ("front", "inner", "app", "control", "store")
+CONNECTION_KINDS = ("front", "inner", "app", "control", "store")
 """What a connection to or from a VM is for: callers to an entry, streams to an
 entry, an agent's calls to its endpoint, the endpoint's reports to its agent, and a
 process's calls to the store."""
@@ -33,9 +33,11 @@
         self._control = pick_port()
         self._store_port = self.store.rpartition(":")[2]
         names = self.entries + self.agents
-        routes = [self._make_route(name, kind) for name in names for kind in KINDS]
-        self._run("proxy", ["-m", "standins.proxy", str(self._control), *routes])
-        wait_for(lambda: self.command(names[0], "front", delay=0.0), "the proxy")
+        routes = [
+            self._make_route(name, kind) for name in names for kind in CONNECTION_KINDS
+        ]
+        self._spawn("proxy", ["-m", "standins.proxy", str(self._control), *routes])
+        wait_for(lambda: self.command_proxy(names[0], "front", delay=0.0), "the proxy")
         self._start_all()
 
     def _make_route(self, name: str, kind: str) -> str:
@@ -46,18 +48,18 @@
 
     def _find_listen(self, name: str, kind: str) -> str:
         port = self._store_port if kind == "store" else getattr(self, kind)
-        return f"{self.find_advertised(name)}:{port}"
+        return f"{self.find_advertised_ip(name)}:{port}"
 
-    def find_advertised(self, name: str) -> str:
+    def find_advertised_ip(self, name: str) -> str:
         """Find the proxy's address in front of a VM."""
         start, _, number = self.find_ip(name).rpartition(".")
         return f"{start}.{int(number) + 100}"
 
-    def find_store(self, name: str) -> str:
+    def find_store_address(self, name: str) -> str:
         """Find where a process reaches the store, through the proxy."""
         return self._find_listen(name, "store")
 
-    def command(self, name: str, kind: str, **command: Any) -> bool:
+    def command_proxy(self, name: str, kind: str, **command: Any) -> bool:
         """Tell the proxy what to do with connections of one kind at one VM."""
         listen = self._find_listen(name, kind)
         line = json.dumps({"listen": listen, **command}).encode() + b"\n"
@@ -94,7 +96,7 @@
         else:
             self.start_agent(name)
 
-    def end_process(self, name: str, how: int = signal.SIGKILL) -> None:
+    def stop_process(self, name: str, how: int = signal.SIGKILL) -> None:
         """Kill a process, or ask it to stop and don't wait."""
         if self.processes[name].poll() is None:
             self.ended_at[name] = time.monotonic()
@@ -109,41 +111,41 @@
         with (self.folder / f"{name}.log").open("a") as log:
             log.write(json.dumps(line) + "\n")
 
-    def silence(self) -> None:
+    def freeze_connections(self) -> None:
         """Let all open streams, and connections to the store, go silent for good."""
         for name in self.entries:
-            self.command(name, "inner", freeze="both")
+            self.command_proxy(name, "inner", freeze="both")
         for name in self.entries + self.agents:
-            self.command(name, "store", freeze="both")
+            self.command_proxy(name, "store", freeze="both")
 
-    def empty_zone(self, zone: str) -> None:
+    def evacuate_zone(self, zone: str) -> None:
         """Evacuate a zone, and write down since when at its endpoints."""
         self.evacuate(zone)
         self._note_zone(zone, "evacuated")
 
-    def return_zone(self, zone: str) -> None:
+    def end_zone_evacuation(self, zone: str) -> None:
         """Take a zone back; from now on runs may start there."""
         self._note_zone(zone, "taken back")
-        self.take_back(zone)
+        self.end_evacuation(zone)
 
     def _note_zone(self, zone: str, event: str) -> None:
         for name in self.agents:
             if self.zones[name] == zone:
                 self._write(f"{name}-endpoint", event)
 
-    def pause(self, name: str, paused: bool) -> None:
+    def set_paused(self, name: str, paused: bool) -> None:
         """Suspend a process, or let it go on."""
         if self.processes[name].poll() is None:
             how = signal.SIGSTOP if paused else signal.SIGCONT
             self.processes[name].send_signal(how)
             self._write(name, "paused" if paused else "resumed")
 
-    def wait_ended(self, name: str) -> None:
+    def wait_exited(self, name: str) -> None:
         """Wait for the end of a process that was asked to stop."""
         process = self.processes[name]
         wait_for(lambda: process.poll() is not None, f"the end of {name}")
 
-    def list_dead(self) -> list[str]:
+    def list_unexpected_exits(self) -> list[str]:
         """List the processes that ended though nobody ended them."""
         return [
             name
--- a/soak/play.py
+++ b/soak/play.py
@@ -12,92 +12,94 @@
 from standins.fleet import wait_for
 from standins.platform_fleet import CORES, ROUTE
 
-from soak.checks import find_faults
+from soak.checks import find_violations
 from soak.clients import Callers
-from soak.faults import Faults, Undo
+from soak.faults import FaultInjector, Undo
 from soak.fleet import SoakFleet
-from soak.records import read_runs, read_taken
+from soak.records import read_job_events, read_runs
 
 CALLERS = 5
-MOST_AT_ONCE = 4
+MAX_OVERLAPPING_FAULTS = 4
 """Faults that may overlap."""
 
-PAUSES = (0.05, 0.2, 0.6)
+PAUSE_CHOICES_SECONDS = (0.05, 0.2, 0.6)
 """Seconds between one fault and the next."""
 
-CHANGE_SECONDS = 5.0
+CONFIGURATION_BOUND_SECONDS = 5.0
 """Seconds after connections went silent in which a change must be in force: until
 processes are held to bounds, and the bound (users' figures)."""
 
-MOVED = {**ROUTE, "name": "moved", "prefix": "/moved/"}
+MOVED_ROUTE = {**ROUTE, "name": "moved", "prefix": "/moved/"}
 
 
-class Outcome(NamedTuple):
+class SeedResult(NamedTuple):
     """What a seed showed.
 
     :param faults: promises that were broken; empty if all held.
     """
 
     seed: int
-    faults: list[str]
-    begun: list[str]
+    violations: list[str]
+    injected_faults: list[str]
     jobs: int
     runs: int
 
 
-def play(
+def run_seed(
     seed: int,
     seconds: float,
     folder: Path,
     entries: int,
     agents: int,
-    newer: bool = True,
-) -> Outcome:
+    extended: bool = True,
+) -> SeedResult:
     """Play one seed and check what callers and endpoints saw.
 
     :param seconds: how long faults come.
     :param newer: whether the newer kinds of faults come, too.
     """
     fleet = SoakFleet(folder, entries, agents)
-    callers = Callers(fleet, seed, CALLERS, twice=newer)
+    callers = Callers(fleet, seed, CALLERS, duplicates=extended)
     try:
         rng = Random(seed)
-        faults = Faults(fleet, rng, newer)
-        begun = _disturb(faults, rng, seconds)
-        broken = [f"{name} ended by itself" for name in fleet.list_dead()]
-        faults.heal()
+        faults = FaultInjector(fleet, rng, extended)
+        injected_faults = _disturb(faults, rng, seconds)
+        broken = [f"{name} ended by itself" for name in fleet.list_unexpected_exits()]
+        faults.restore_all()
         fleet.wait_all_ready()
         _wait_served(fleet, seed)
-        callers.set_planned(True)
+        callers.set_planned_only(True)
         _restart_entries(fleet)
-        callers.set_planned(False)
+        callers.set_planned_only(False)
         _change_configuration(fleet)
     finally:
         callers.stop()
         fleet.stop()
     runs = read_runs(folder)
-    broken += find_faults(callers.attempts, runs, read_taken(folder), CORES)
+    broken += find_violations(callers.attempts, runs, read_job_events(folder), CORES)
     jobs = len({attempt.job for attempt in callers.attempts})
-    return Outcome(seed, broken, begun, jobs, len(runs))
+    return SeedResult(seed, broken, injected_faults, jobs, len(runs))
 
 
-def _disturb(faults: Faults, rng: Random, seconds: float) -> list[str]:
-    begun: list[str] = []
+def _disturb(faults: FaultInjector, rng: Random, seconds: float) -> list[str]:
+    injected_faults: list[str] = []
     order = itertools.count()
     open_faults: list[tuple[float, int, Undo]] = []
     until = time.monotonic() + seconds
     while time.monotonic() < until:
         while open_faults and open_faults[0][0] <= time.monotonic():
             heapq.heappop(open_faults)[2]()
-        if len(open_faults) < MOST_AT_ONCE:
-            fault = faults.begin()
-            begun.append(f"{time.monotonic():.3f} {fault.what} for {fault.seconds}")
+        if len(open_faults) < MAX_OVERLAPPING_FAULTS:
+            fault = faults.inject()
+            injected_faults.append(
+                f"{time.monotonic():.3f} {fault.description} for {fault.seconds}"
+            )
             ends_at = time.monotonic() + fault.seconds
             heapq.heappush(open_faults, (ends_at, next(order), fault.undo))
-        time.sleep(rng.choice(PAUSES))
+        time.sleep(rng.choice(PAUSE_CHOICES_SECONDS))
     for _, _, undo in sorted(open_faults, key=lambda each: each[:2]):
         undo()
-    return begun
+    return injected_faults
 
 
 def _wait_served(fleet: SoakFleet, seed: int) -> None:
@@ -114,8 +116,8 @@
 def _restart_entries(fleet: SoakFleet) -> None:
     """Stop each entry and start it again, callers' connections open all the while."""
     for name in fleet.entries:
-        fleet.end_process(name, signal.SIGTERM)
-        fleet.wait_ended(name)
+        fleet.stop_process(name, signal.SIGTERM)
+        fleet.wait_exited(name)
         fleet.start_process(name)
         fleet.wait_ready(name, len(fleet.agents))
 
@@ -125,11 +127,11 @@
 
     The old one must go everywhere in time, and never come back.
     """
-    fleet.silence()
-    fleet.write_routes(10**6, [MOVED])
+    fleet.freeze_connections()
+    fleet.write_routes(10**6, [MOVED_ROUTE])
     for name in fleet.entries:
         is_moved = partial(_is_moved, fleet, name)
-        wait_for(is_moved, f"the new route at {name}", CHANGE_SECONDS)
+        wait_for(is_moved, f"the new route at {name}", CONFIGURATION_BOUND_SECONDS)
     for name in fleet.entries:
         assert _is_moved(fleet, name), f"{name} went back to an older configuration"
 
--- a/soak/records.py
+++ b/soak/records.py
@@ -7,7 +7,7 @@
 
 NEVER = float("inf")
 
-LONGEST_LEASE = 1.0 / 0.98
+MAX_LEASE_SECONDS = 1.0 / 0.98
 """Seconds of the longest lease, on a clock that is 2 % slow."""
 
 
@@ -26,7 +26,7 @@
     ended_at: float
     status: int
     state: str
-    planned: bool
+    planned_only: bool
 
 
 class Run(NamedTuple):
@@ -46,7 +46,7 @@
     ended: float
     end: str
     late: bool
-    alive: int
+    active_runs: int
     drain_heard_at: float
     evacuated_at: float = 0.0
 
@@ -56,7 +56,7 @@
         return self.task.partition(".")[0]
 
 
-class Taken(NamedTuple):
+class JobEvent(NamedTuple):
     """An entry wrote down something about a job, so it has read its request."""
 
     entry: str
@@ -64,7 +64,7 @@
     at: float
 
 
-def read_taken(folder: Path) -> list[Taken]:
+def read_job_events(folder: Path) -> list[JobEvent]:
     """Read when each entry wrote down something about a job."""
     lines = [
         json.loads(line)
@@ -72,7 +72,7 @@
         for line in path.read_text().splitlines()
         if line.startswith("{") and line.endswith("}") and '"job_' in line
     ]
-    return [Taken(line["process"], line["request"], line["at"]) for line in lines]
+    return [JobEvent(line["process"], line["request"], line["at"]) for line in lines]
 
 
 def read_runs(folder: Path) -> list[Run]:
@@ -118,7 +118,7 @@
         elif line["event"] == "killed":
             # A paused endpoint gets no renewal, so its runs lapse though it can't
             # write that down before it is killed.
-            ended = min(line["at"], paused_at + LONGEST_LEASE)
+            ended = min(line["at"], paused_at + MAX_LEASE_SECONDS)
             runs += [run._replace(ended=ended) for run in open_runs.values()]
             open_runs.clear()
             paused_at = NEVER
--- a/standins/endpoint.py
+++ b/standins/endpoint.py
@@ -17,7 +17,7 @@
 import httpx
 
 LEASE_SECONDS = 3.0
-RENEW_SECONDS = 1.0
+RENEW_INTERVAL_SECONDS = 1.0
 
 
 class Endpoint:
@@ -122,19 +122,21 @@
             self.transport.close()
 
 
-async def renew(endpoint: Endpoint, agent: str, port: int, lease: float) -> None:
+async def renew_registration_forever(
+    endpoint: Endpoint, agent: str, port: int, lease_seconds: float
+) -> None:
     """Announce the endpoint to its agent and renew for ever."""
     body = {
         "service": endpoint.service,
         "url": f"http://127.0.0.1:{port}",
         "slots": endpoint.slots,
         "connections": 64,
-        "lease_seconds": lease,
+        "lease_seconds": lease_seconds,
         "instance": endpoint.instance,
     }
     async with httpx.AsyncClient(base_url=f"http://{agent}", timeout=1.0) as client:
         while True:
-            wait = RENEW_SECONDS
+            wait = RENEW_INTERVAL_SECONDS
             try:
                 await client.put("/v1/endpoint", json=body)
             except httpx.HTTPError:
@@ -142,7 +144,7 @@
             await asyncio.sleep(wait)
 
 
-async def leave(agent: str) -> None:
+async def unregister(agent: str) -> None:
     """Tell the agent, and wait until nothing runs."""
     async with httpx.AsyncClient(base_url=f"http://{agent}", timeout=1.0) as client:
         with contextlib.suppress(httpx.HTTPError):
@@ -169,11 +171,13 @@
     stopping = asyncio.Event()
     loop.add_signal_handler(signal.SIGTERM, stopping.set)
     renewing = asyncio.create_task(
-        renew(endpoint, arguments.agent, arguments.port, arguments.lease)
+        renew_registration_forever(
+            endpoint, arguments.agent, arguments.port, arguments.lease
+        )
     )
     await stopping.wait()
     renewing.cancel()
-    await leave(arguments.agent)
+    await unregister(arguments.agent)
     server.close()
 
 
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -19,8 +19,8 @@
 
 ROOT = Path(__file__).parent.parent
 ENTRYPOINT = "from godwitbank._internal.cli.entrypoints import run_{0}; run_{0}()"
-WAIT_SECONDS = 30.0
-POLL_SECONDS = 0.02
+WAIT_TIMEOUT_SECONDS = 30.0
+POLL_INTERVAL_SECONDS = 0.02
 _next_port = [0]
 
 
@@ -47,13 +47,13 @@
                 continue
 
 
-class Running(NamedTuple):
+class ManagedProcess(NamedTuple):
     """A started process and where it listens."""
 
     name: str
     process: subprocess.Popen
-    http: int
-    stream: int
+    http_port: int
+    stream_port: int
 
     def kill(self) -> None:
         """Kill without notice."""
@@ -64,18 +64,20 @@
         """Ask to stop; returns at once."""
         self.process.send_signal(signal.SIGTERM)
 
-    def freeze(self) -> None:
+    def suspend(self) -> None:
         """Stop the process from running."""
         self.process.send_signal(signal.SIGSTOP)
 
-    def thaw(self) -> None:
+    def resume(self) -> None:
         """Let it run again."""
         self.process.send_signal(signal.SIGCONT)
 
 
-def wait_for(check: Callable[[], Any], what: str, seconds: float = WAIT_SECONDS) -> Any:
+def wait_for(
+    check: Callable[[], Any], what: str, timeout_seconds: float = WAIT_TIMEOUT_SECONDS
+) -> Any:
     """Poll until ``check`` gives something true."""
-    until = time.monotonic() + seconds
+    until = time.monotonic() + timeout_seconds
     while True:
         try:
             found = check()
@@ -84,34 +86,35 @@
         if found:
             return found
         if time.monotonic() > until:
-            raise AssertionError(f"waited {seconds} s in vain for {what}")
-        time.sleep(POLL_SECONDS)
+            raise AssertionError(f"waited {timeout_seconds} s in vain for {what}")
+        time.sleep(POLL_INTERVAL_SECONDS)
 
 
 class Fleet:
     """Entries, agents, endpoints, proxies and the platform."""
 
     def __init__(
-        self, folder: Path, heartbeat: float = 1.0, delay: float = 0.0
+        self, folder: Path, heartbeat_seconds: float = 1.0, delay_seconds: float = 0.0
     ) -> None:
         self.folder = folder
         self.folder.mkdir(parents=True, exist_ok=True)
-        self.heartbeat = heartbeat
-        self.delay = delay
-        self.entries: list[Running] = []
-        self.agents: list[Running] = []
-        self.endpoints: list[Running] = []
+        self.heartbeat_seconds = heartbeat_seconds
+        self.delay_seconds = delay_seconds
+        self.entries: list[ManagedProcess] = []
+        self.agents: list[ManagedProcess] = []
+        self.endpoints: list[ManagedProcess] = []
         self.proxies: dict[int, int] = {}
         self._all: list[subprocess.Popen] = []
         self._logs: list[Any] = []
         self.platform = self._start_platform()
         self.balancer_http = pick_port()
         self.balancer_stream = pick_port()
-        self._balancer: Running | None = None
+        self._balancer: ManagedProcess | None = None
 
     # Processes
 
-    def _run(self, name: str, *command: str) -> subprocess.Popen:
+    def start_process(self, name: str, *command: str) -> subprocess.Popen:
+        """Start a Python process that logs to ``<name>.log`` in the folder."""
         log = open(self.folder / f"{name}.log", "ab")  # noqa: SIM115
         self._logs.append(log)
         process = subprocess.Popen(
@@ -120,27 +123,27 @@
         self._all.append(process)
         return process
 
-    def _start_platform(self) -> Running:
+    def _start_platform(self) -> ManagedProcess:
         port = pick_port()
-        process = self._run("platform", "-m", "standins.platform", str(port))
-        running = Running("platform", process, port, 0)
+        process = self.start_process("platform", "-m", "standins.platform", str(port))
+        running = ManagedProcess("platform", process, port, 0)
         url = f"http://127.0.0.1:{port}/control"
         wait_for(lambda: httpx.get(url).is_success, "the platform")
         return running
 
-    def proxy(self, *targets: int, delay: float = 0.0) -> int:
+    def start_proxy(self, *targets: int, delay_seconds: float = 0.0) -> int:
         """Start a fault proxy to some ports; returns its own port."""
         control, port = pick_port(), pick_port()
         joined = ",".join(str(target) for target in targets)
         command = ("-m", "standins.proxy", str(control), f"{port}={joined}")
-        self._run(f"proxy-{port}", *command)
+        self.start_process(f"proxy-{port}", *command)
         self.proxies[port] = control
         wait_for(lambda: is_listening(control), "the proxy")
-        if delay:
-            self.control(port, delay=delay)
+        if delay_seconds:
+            self.control_proxy(port, delay=delay_seconds)
         return port
 
-    def control(self, port: int, **command: Any) -> None:
+    def control_proxy(self, port: int, **command: Any) -> None:
         """Tell a proxy which fault to inject."""
         line = json.dumps({"listen": port, **command}).encode() + b"\n"
         with socket.create_connection(("127.0.0.1", self.proxies[port])) as link:
@@ -149,28 +152,30 @@
 
     def control_platform(self, **knobs: Any) -> None:
         """Set the platform's knobs of failure."""
-        url = f"http://127.0.0.1:{self.platform.http}/control"
+        url = f"http://127.0.0.1:{self.platform.http_port}/control"
         httpx.put(url, json=knobs, timeout=10).raise_for_status()
 
-    def balance(self) -> None:
+    def update_balancer(self) -> None:
         """Point the balancer at the entries there are now."""
-        http = ",".join(str(entry.http) for entry in self.entries)
-        stream = ",".join(str(entry.stream) for entry in self.entries)
+        http = ",".join(str(entry.http_port) for entry in self.entries)
+        stream = ",".join(str(entry.stream_port) for entry in self.entries)
         if self._balancer is not None:
-            self.control(self.balancer_http, targets=http.split(","))
-            self.control(self.balancer_stream, targets=stream.split(","))
+            self.control_proxy(self.balancer_http, targets=http.split(","))
+            self.control_proxy(self.balancer_stream, targets=stream.split(","))
             return
         control = pick_port()
         routes = (f"{self.balancer_http}={http}", f"{self.balancer_stream}={stream}")
-        process = self._run("balancer", "-m", "standins.proxy", str(control), *routes)
-        self._balancer = Running("balancer", process, self.balancer_http, 0)
+        process = self.start_process(
+            "balancer", "-m", "standins.proxy", str(control), *routes
+        )
+        self._balancer = ManagedProcess("balancer", process, self.balancer_http, 0)
         self.proxies[self.balancer_http] = control
         self.proxies[self.balancer_stream] = control
         wait_for(lambda: is_listening(control), "the balancer")
 
     def start_entry(
         self, zone: str = "a", wait: bool = True, baseline: str = "", **more: Any
-    ) -> Running:
+    ) -> ManagedProcess:
         """Start one entry; ``baseline`` names one of ``bench.baselines``."""
         number = len(self.entries)
         name = f"entry-{number}-{time.monotonic_ns() % 100000}"
@@ -181,27 +186,27 @@
             "http": f"127.0.0.1:{http}",
             "stream": f"127.0.0.1:{stream}",
             "balancer": f"127.0.0.1:{self.balancer_stream}",
-            "table": f"http://127.0.0.1:{self.platform.http}",
-            "heartbeat": self.heartbeat,
+            "table": f"http://127.0.0.1:{self.platform.http_port}",
+            "heartbeat": self.heartbeat_seconds,
             "unready_delay": 0.5,
             **more,
         }
-        running = Running(
+        running = ManagedProcess(
             name, self._daemon("entry", name, settings, baseline), http, stream
         )
         self.entries.append(running)
         if wait:
-            self.await_ready(running)
+            self.wait_ready(running)
         return running
 
-    def await_ready(self, entry: Running) -> None:
+    def wait_ready(self, entry: ManagedProcess) -> None:
         """Wait until an entry serves."""
-        url = f"http://127.0.0.1:{entry.http}/v1/ready"
+        url = f"http://127.0.0.1:{entry.http_port}/v1/ready"
         wait_for(lambda: httpx.get(url).is_success, f"{entry.name} to be ready")
 
     def start_agent(
         self, zone: str = "a", proxied: bool = False, port: int = 0, **more: Any
-    ) -> Running:
+    ) -> ManagedProcess:
         """Start one agent; ``proxied`` puts a fault proxy before its stream port."""
         name = f"agent-{len(self.agents)}"
         http, stream = pick_port(), port or pick_port()
@@ -211,18 +216,23 @@
             "http": f"127.0.0.1:{http}",
             "stream": f"127.0.0.1:{stream}",
             "balancer": f"127.0.0.1:{self.balancer_stream}",
-            "heartbeat": self.heartbeat,
+            "heartbeat": self.heartbeat_seconds,
             "announce": 0.3,
             **more,
         }
         if proxied:
-            settings["advertised"] = f"127.0.0.1:{self.proxy(stream, delay=self.delay)}"
-        running = Running(name, self._daemon("agent", name, settings), http, stream)
+            settings["advertised"] = (
+                "127.0.0.1:"
+                f"{self.start_proxy(stream, delay_seconds=self.delay_seconds)}"
+            )
+        running = ManagedProcess(
+            name, self._daemon("agent", name, settings), http, stream
+        )
         self.agents.append(running)
         wait_for(lambda: is_listening(http), f"{name} to listen")
         return running
 
-    def advertised(self, agent: Running) -> int:
+    def find_advertised_port(self, agent: ManagedProcess) -> int:
         """Port of the proxy before an agent."""
         text = (self.folder / f"{agent.name}.toml").read_text()
         line = next(each for each in text.splitlines() if "advertised" in each)
@@ -235,50 +245,52 @@
         path.write_text(render_toml(settings))
         flags = (f"--settings={path}", "--log_format=json")
         if baseline:
-            return self._run(name, "-m", "bench.baselines", baseline, *flags)
-        return self._run(name, "-c", ENTRYPOINT.format(role), *flags)
+            return self.start_process(name, "-m", "bench.baselines", baseline, *flags)
+        return self.start_process(name, "-c", ENTRYPOINT.format(role), *flags)
 
-    def restart_agent(self, agent: Running) -> Running:
+    def restart_agent(self, agent: ManagedProcess) -> ManagedProcess:
         """Start an agent again with its old settings and address."""
         path = self.folder / f"{agent.name}.toml"
         code = ENTRYPOINT.format("agent")
-        process = self._run(agent.name, "-c", code, f"--settings={path}")
+        process = self.start_process(agent.name, "-c", code, f"--settings={path}")
         running = agent._replace(process=process)
         self.agents[self.agents.index(agent)] = running
-        wait_for(lambda: is_listening(agent.http), f"{agent.name} to listen")
+        wait_for(lambda: is_listening(agent.http_port), f"{agent.name} to listen")
         return running
 
     def start_endpoint(
         self,
-        agent: Running,
+        agent: ManagedProcess,
         service: str = "desk",
         slots: int = 8,
-        lease: float = 3.0,
-    ) -> Running:
+        lease_seconds: float = 3.0,
+    ) -> ManagedProcess:
         """Start the endpoint beside an agent."""
         port = pick_port()
         name = f"endpoint-{len(self.endpoints)}"
-        process = self._run(
+        process = self.start_process(
             name,
             "-m",
             "standins.endpoint",
             str(port),
-            f"127.0.0.1:{agent.http}",
+            f"127.0.0.1:{agent.http_port}",
             f"--service={service}",
             f"--slots={slots}",
-            f"--lease={lease}",
+            f"--lease={lease_seconds}",
         )
-        running = Running(name, process, port, 0)
+        running = ManagedProcess(name, process, port, 0)
         self.endpoints.append(running)
         wait_for(lambda: is_listening(port), f"{name} to listen")
         return running
 
     # Use
 
-    def operate(self, *arguments: str, entry: int = 0) -> subprocess.CompletedProcess:
+    def run_operator_command(
+        self, *arguments: str, entry: int = 0
+    ) -> subprocess.CompletedProcess:
         """Run an operator's command against an entry."""
         code = ENTRYPOINT.format("operator")
-        address = f"--entry=127.0.0.1:{self.entries[entry].http}"
+        address = f"--entry=127.0.0.1:{self.entries[entry].http_port}"
         return subprocess.run(
             [sys.executable, "-c", code, *arguments, address, "--verbosity=warning"],
             capture_output=True,
@@ -287,24 +299,24 @@
             cwd=ROOT,
         )
 
-    def status(self, entry: int = 0) -> dict[str, Any]:
+    def read_status(self, entry: int = 0) -> dict[str, Any]:
         """Read an entry's status."""
-        url = f"http://127.0.0.1:{self.entries[entry].http}/v1/status"
+        url = f"http://127.0.0.1:{self.entries[entry].http_port}/v1/status"
         state: dict[str, Any] = httpx.get(url, timeout=10).json()
         return state
 
-    def record(self, endpoint: Running) -> dict[str, Any]:
+    def read_record(self, endpoint: ManagedProcess) -> dict[str, Any]:
         """Read what an endpoint wrote down."""
-        url = f"http://127.0.0.1:{endpoint.http}/record"
+        url = f"http://127.0.0.1:{endpoint.http_port}/record"
         written: dict[str, Any] = httpx.get(url, timeout=10).json()
         return written
 
-    def control_endpoint(self, endpoint: Running, **knobs: Any) -> None:
+    def control_endpoint(self, endpoint: ManagedProcess, **knobs: Any) -> None:
         """Make an endpoint fail or crawl."""
-        url = f"http://127.0.0.1:{endpoint.http}/control"
+        url = f"http://127.0.0.1:{endpoint.http_port}/control"
         httpx.put(url, json=knobs, timeout=10).raise_for_status()
 
-    def await_agents(self, count: int, service: str = "desk") -> None:
+    def wait_for_agents(self, count: int, service: str = "desk") -> None:
         """Wait until every entry can use so many agents of a service."""
         for number in range(len(self.entries)):
             wait_for(
@@ -313,7 +325,7 @@
             )
 
     def _count_usable(self, number: int, service: str) -> int:
-        agents = self.status(number)["agents"]
+        agents = self.read_status(number)["agents"]
         return sum(
             each["connected"] and each["service"] == service and not each["leaving"]
             for each in agents
--- a/standins/leased_endpoint.py
+++ b/standins/leased_endpoint.py
@@ -23,9 +23,9 @@
 )
 from godwitbank._internal.models.resources import Resources
 
-STOP_GRACE = 0.05
+STOP_GRACE_SECONDS = 0.05
 
-COLD_FACTOR = 3.0
+WARM_UP_FACTOR = 3.0
 """How many times as long a run takes on an endpoint that is cold."""
 
 
@@ -44,7 +44,7 @@
     unhealthy: bool = False
 
 
-class Alive:
+class ActiveRun:
     """A run at work."""
 
     def __init__(self, task: str, run: int, began: float, seconds: float) -> None:
@@ -55,7 +55,7 @@
         self.stop_at: float | None = None
 
 
-class Life(NamedTuple):
+class EndedRun(NamedTuple):
     """A run that has ended, and when it really did.
 
     The endpoint may notice an end later than it came; times are those of the
@@ -77,33 +77,33 @@
         instance: str,
         service: str,
         capacity: Resources,
-        clock_base: int = 10**6,
-        longest_lease: float = 1.0,
+        clock_base_ms: int = 10**6,
+        max_lease_seconds: float = 1.0,
     ) -> None:
-        self._longest_lease = longest_lease
+        self._max_lease_seconds = max_lease_seconds
         self.instance = instance
         self.service = service
         self.capacity = capacity
         self.behaviour = Behaviour()
-        self.alive: dict[str, Alive] = {}
-        self.ends: list[ListedEnd] = []
-        self.highest: dict[str, int] = {}
+        self.active_runs: dict[str, ActiveRun] = {}
+        self.unacknowledged_ends: list[ListedEnd] = []
+        self.highest_runs: dict[str, int] = {}
         self.token = 0
         self.lease_until = 0
         self.clock_rate = 0.98
         self.draining = False
-        self.cold_until = 0.0
+        self.warming_up_until = 0.0
         self.started: list[tuple[float, str, int]] = []
-        self.lives: list[Life] = []
-        self._clock_base = clock_base
+        self.ended_runs: list[EndedRun] = []
+        self._clock_base_ms = clock_base_ms
         self._number = 0
         self._sequence = 0
 
     def clock(self, now: float) -> int:
         """Read the endpoint's own clock, in milliseconds."""
-        return self._clock_base + int(now * 1000 * self.clock_rate)
+        return self._clock_base_ms + int(now * 1000 * self.clock_rate)
 
-    def report(self, now: float) -> EndpointReport:
+    def make_report(self, now: float) -> EndpointReport:
         """Make the next report."""
         self._sequence += 1
         return EndpointReport(
@@ -115,13 +115,13 @@
             self.clock(now),
             self._sequence,
             "endpoint:1",
-            max(0.0, self.cold_until - now),
+            max(0.0, self.warming_up_until - now),
         )
 
     def advance(self, now: float) -> None:
         """End what is due."""
         lapsed = self.clock(now) >= self.lease_until
-        for run in list(self.alive.values()):
+        for run in list(self.active_runs.values()):
             done_at = run.began + run.seconds
             if run.stop_at is not None and now >= run.stop_at:
                 self._end(run, RunEnd.STOPPED, run.stop_at)
@@ -132,17 +132,19 @@
                 self._end(run, RunEnd.FAILED if failed else RunEnd.DONE, done_at)
 
     def _read_lapse(self) -> float:
-        return (self.lease_until - self._clock_base) / 1000 / self.clock_rate
+        return (self.lease_until - self._clock_base_ms) / 1000 / self.clock_rate
 
-    def _end(self, run: Alive, end: RunEnd, at: float) -> None:
-        del self.alive[run.task]
-        self.lives.append(Life(run.task, run.run, run.began, at, end))
+    def _end(self, run: ActiveRun, end: RunEnd, at: float) -> None:
+        del self.active_runs[run.task]
+        self.ended_runs.append(EndedRun(run.task, run.run, run.began, at, end))
         self._number += 1
-        self.ends.append(ListedEnd(self._number, run.task, run.run, end, ""))
+        self.unacknowledged_ends.append(
+            ListedEnd(self._number, run.task, run.run, end, "")
+        )
 
     def _extend(self, until: int | None, now: float) -> None:
         if until is not None:
-            longest = self.clock(now) + int(self._longest_lease * 1000)
+            longest = self.clock(now) + int(self._max_lease_seconds * 1000)
             self.lease_until = max(self.lease_until, min(until, longest))
 
     def start(self, order: OrderStart, now: float, seconds: float) -> StartAnswered:
@@ -162,17 +164,17 @@
         self.token = order.token
         if self.clock(now) >= order.lease_until:
             return answer(StartVerdict.LAPSED)
-        present = self.alive.get(order.task)
+        present = self.active_runs.get(order.task)
         if present is not None and present.run == order.run:
             return answer(StartVerdict.STARTED)
-        if order.run <= self.highest.get(order.task, 0):
+        if order.run <= self.highest_runs.get(order.task, 0):
             return answer(StartVerdict.SUPERSEDED)
         self._extend(order.lease_until, now)
-        self.highest[order.task] = order.run
-        slow = COLD_FACTOR if now < self.cold_until else 1.0
+        self.highest_runs[order.task] = order.run
+        slow = WARM_UP_FACTOR if now < self.warming_up_until else 1.0
         seconds *= self.behaviour.speed * slow
         seconds = 0.02 if self.behaviour.fails else seconds
-        self.alive[order.task] = Alive(order.task, order.run, now, seconds)
+        self.active_runs[order.task] = ActiveRun(order.task, order.run, now, seconds)
         self.started.append((now, order.task, order.run))
         return answer(StartVerdict.STARTED)
 
@@ -182,12 +184,16 @@
         if order.instance != self.instance or order.token < self.token:
             return
         self.token = order.token
-        run = self.alive.get(order.task)
+        run = self.active_runs.get(order.task)
         if run is not None and run.run == order.run:
-            run.stop_at = now + STOP_GRACE
-        self.highest[order.task] = max(self.highest.get(order.task, 0), order.run)
+            run.stop_at = now + STOP_GRACE_SECONDS
+        self.highest_runs[order.task] = max(
+            self.highest_runs.get(order.task, 0), order.run
+        )
 
-    def hold(self, order: RenewLease, now: float) -> RenewalAnswered | RenewalFailed:
+    def renew_lease(
+        self, order: RenewLease, now: float
+    ) -> RenewalAnswered | RenewalFailed:
         """Take a lease renewal and answer with the lists."""
         self.advance(now)
         clock = self.clock(now)
@@ -197,22 +203,26 @@
             return RenewalFailed(order.renewal, RenewalVerdict.FENCED, clock)
         self.token = order.token
         self._extend(order.lease_until, now)
-        self.ends = [end for end in self.ends if end.number > order.seen]
-        return self.list_all(order, now)
+        self.unacknowledged_ends = [
+            end for end in self.unacknowledged_ends if end.number > order.seen
+        ]
+        return self.list_runs(order, now)
 
-    def list_all(self, order: RenewLease, now: float) -> RenewalAnswered:
+    def list_runs(self, order: RenewLease, now: float) -> RenewalAnswered:
         """List what runs and what ended since the last that was seen."""
         self.advance(now)
         running = tuple(
             ListedRun(run.task, run.run, "", self._measure(run, now))
-            for run in self.alive.values()
+            for run in self.active_runs.values()
+        )
+        ended = tuple(
+            end for end in self.unacknowledged_ends if end.number > order.seen
         )
-        ended = tuple(end for end in self.ends if end.number > order.seen)
         return RenewalAnswered(
             order.renewal, running, ended, self.clock(now), self.instance
         )
 
-    def _measure(self, run: Alive, now: float) -> int:
+    def _measure(self, run: ActiveRun, now: float) -> int:
         if self.behaviour.hangs:
             return 0
         return min(99, int(100 * (now - run.began) / run.seconds))
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -23,7 +23,7 @@
 
     def __init__(self) -> None:
         self.rows: dict[str, dict[str, Any]] = {}
-        self.old_rows: dict[str, dict[str, Any]] | None = None
+        self.stale_rows: dict[str, dict[str, Any]] | None = None
         self.history: list[dict[str, dict[str, Any]]] = []
         self.objects: dict[str, bytes] = {}
         self.writes = 0
@@ -37,7 +37,7 @@
 
     def read(self, key: str) -> dict[str, Any]:
         """Read a row, perhaps of an older state."""
-        rows = self.rows if self.old_rows is None else self.old_rows
+        rows = self.rows if self.stale_rows is None else self.stale_rows
         return rows.get(key, {"key": key, "version": 0, "value": None})
 
     def commit(self, puts: list[dict[str, Any]]) -> list[dict[str, Any]]:
@@ -105,9 +105,9 @@
         store.control.update(data)
         age = int(data.get("age_reads", 0))
         if age:
-            store.old_rows = store.history[-age]
+            store.stale_rows = store.history[-age]
         elif "age_reads" in data:
-            store.old_rows = None
+            store.stale_rows = None
         return store.control
 
     @get("/control")
--- a/standins/platform_endpoint.py
+++ b/standins/platform_endpoint.py
@@ -29,8 +29,8 @@
 from godwitbank._internal.models.resources import Resources
 from standins.leased_endpoint import Behaviour, FakeEndpoint
 
-REPORT_SECONDS = 0.5
-POLL_SECONDS = 0.005
+REPORT_INTERVAL_SECONDS = 0.5
+POLL_INTERVAL_SECONDS = 0.005
 
 _REASONS = {
     StartVerdict.FENCED: "fence",
@@ -51,71 +51,71 @@
         instance = f"i-{int(time.time() * 1e6):x}"
         capacity = Resources(cores * 1000, 65536, 0)
         base = int(time.time() * 1000) % 10**9
-        self.fake = FakeEndpoint(instance, service, capacity, base)
+        self.endpoint = FakeEndpoint(instance, service, capacity, base)
         self.lose_starts = 0
         self.carry_out_after = 0.0
         self.drain_heard_at = 0.0
         self.most_at_once = 0
-        self._told = 0
-        self.began = time.monotonic()
+        self._written_ends = 0
+        self.started_at = time.monotonic()
 
     @property
     def now(self) -> float:
         """Seconds since this boot."""
-        return time.monotonic() - self.began
+        return time.monotonic() - self.started_at
 
     def start(self, order: OrderStart, late: bool) -> StartAnswered:
         """Carry out an order to start, and tell of it."""
-        before = len(self.fake.started)
-        answer = self.fake.start(order, self.now, float(order.payload))
-        if len(self.fake.started) > before:
-            self.tell(
+        before = len(self.endpoint.started)
+        answer = self.endpoint.start(order, self.now, float(order.payload))
+        if len(self.endpoint.started) > before:
+            self.write_event(
                 event="began",
                 task=order.task,
                 run=order.run,
                 late=late,
-                alive=len(self.fake.alive),
+                alive=len(self.endpoint.active_runs),
                 drain_heard_at=self.drain_heard_at,
             )
-        self.most_at_once = max(self.most_at_once, len(self.fake.alive))
+        self.most_at_once = max(self.most_at_once, len(self.endpoint.active_runs))
         return answer
 
-    async def lose_start(self, order: OrderStart) -> None:
+    async def lose_start_answer(self, order: OrderStart) -> None:
         """Leave an order unanswered; perhaps carry it out later."""
         if self.carry_out_after:
             await asyncio.sleep(self.carry_out_after)
             self.start(order, late=True)
         await asyncio.sleep(3600)
 
-    def tell(self, **fields: Any) -> None:
+    def write_event(self, **fields: Any) -> None:
         """Write a line of what happened here."""
-        line = {"instance": self.fake.instance, "at": time.monotonic(), **fields}
+        line = {"instance": self.endpoint.instance, "at": time.monotonic(), **fields}
         # In one write: others add lines to the same file.
         sys.stdout.write(json.dumps(line) + "\n")
         sys.stdout.flush()
 
-    async def tell_ends_forever(self) -> None:
+    async def write_ends_forever(self) -> None:
         """Write a line for each run that has ended."""
         while True:
-            self.fake.advance(self.now)
-            self.tell_ends()
-            await asyncio.sleep(POLL_SECONDS)
+            self.endpoint.advance(self.now)
+            self.write_ends()
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
-    def tell_ends(self) -> None:
+    def write_ends(self) -> None:
         """Write a line for each run whose end was noticed since the last time."""
-        for life in self.fake.lives[self._told :]:
-            self.tell(
+        for life in self.endpoint.ended_runs[self._written_ends :]:
+            self.write_event(
                 event="ended",
                 task=life.task,
                 run=life.run,
-                ended=self.began + life.ended,
+                ended=self.started_at + life.ended,
                 end=str(life.end),
             )
-        self._told = len(self.fake.lives)
+        self._written_ends = len(self.endpoint.ended_runs)
 
-    def describe(self) -> dict[str, Any]:
+    def make_report_body(self) -> dict[str, Any]:
         """Make the body of a report."""
-        report = self.fake.report(self.now)
+        report = self.endpoint.make_report(self.now)
         room = report.capacity
         return {
             "service": report.service,
@@ -134,20 +134,20 @@
     async def report_forever(self) -> None:
         """Report to the agent on the same VM."""
         async with httpx.AsyncClient(trust_env=False) as client:
-            url = f"http://{self.agent}/-/instances/{self.fake.instance}"
+            url = f"http://{self.agent}/-/instances/{self.endpoint.instance}"
             while True:
                 with contextlib.suppress(httpx.HTTPError):
-                    body = self.describe()
+                    body = self.make_report_body()
                     answer = await client.put(url, json=body, timeout=1.0)
                     heard = answer.is_success and body["state"] == "draining"
                     if heard and not self.drain_heard_at:
                         self.drain_heard_at = time.monotonic()
-                await asyncio.sleep(REPORT_SECONDS)
+                await asyncio.sleep(REPORT_INTERVAL_SECONDS)
 
 
 def make_app(daemon: Daemon) -> Litestar:
     """Make the endpoint's application."""
-    fake = daemon.fake
+    fake = daemon.endpoint
 
     def is_other(request: Request) -> bool:
         expected = request.headers.get("expect-instance", "")
@@ -170,7 +170,7 @@
         )
         if daemon.lose_starts > 0:
             daemon.lose_starts -= 1
-            await daemon.lose_start(order)
+            await daemon.lose_start_answer(order)
         answer = daemon.start(order, late=False)
         clock = {"clock-ms": answer.clock}
         if answer.verdict == StartVerdict.STARTED:
@@ -206,15 +206,15 @@
             wait,
             0.0,
         )
-        answer = fake.hold(order, daemon.now)
+        answer = fake.renew_lease(order, daemon.now)
         until = daemon.now + wait / 1000
         while not isinstance(answer, RenewalFailed):
-            answer = fake.list_all(order, daemon.now)
+            answer = fake.list_runs(order, daemon.now)
             if answer.ended or daemon.now >= until:
                 break
-            await asyncio.sleep(POLL_SECONDS)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
         # Killed after the answer, the endpoint would leave no trace of what it told.
-        daemon.tell_ends()
+        daemon.write_ends()
         if isinstance(answer, RenewalFailed):
             clock = answer.clock
             return Response({"clock-ms": clock, "reason": "fence"}, status_code=409)
@@ -223,7 +223,7 @@
                 "clock-ms": answer.clock,
                 "running": [list(row) for row in answer.running],
                 "ended": [
-                    [*row[:3], _name_end(row[3]), row[4]] for row in answer.ended
+                    [*row[:3], _format_end(row[3]), row[4]] for row in answer.ended
                 ],
             }
         )
@@ -232,7 +232,7 @@
     async def control(request: Request) -> dict[str, Any]:
         body = await request.json()
         fake.draining = body.pop("draining", fake.draining)
-        fake.cold_until = daemon.now + body.pop("cold_seconds", 0.0)
+        fake.warming_up_until = daemon.now + body.pop("cold_seconds", 0.0)
         daemon.lose_starts = body.pop("lose_starts", daemon.lose_starts)
         daemon.carry_out_after = body.pop("carry_out_after", daemon.carry_out_after)
         fake.behaviour = Behaviour(**body)
@@ -243,7 +243,7 @@
         fake.advance(daemon.now)
         return {
             "started": [[task, run] for _, task, run in fake.started],
-            "alive": list(fake.alive),
+            "alive": list(fake.active_runs),
             "most_at_once": daemon.most_at_once,
         }
 
@@ -254,7 +254,7 @@
     )
 
 
-def _name_end(end: str) -> str:
+def _format_end(end: str) -> str:
     return "lapsed" if end == "lost" else str(end)
 
 
@@ -266,10 +266,10 @@
     config = uvicorn.Config(
         make_app(daemon), host=host, port=int(port), log_level="warning"
     )
-    daemon.tell(event="booted")
+    daemon.write_event(event="booted")
     chores = [
         asyncio.create_task(daemon.report_forever()),
-        asyncio.create_task(daemon.tell_ends_forever()),
+        asyncio.create_task(daemon.write_ends_forever()),
     ]
     await uvicorn.Server(config).serve()
     for chore in chores:
--- a/standins/platform_fleet.py
+++ b/standins/platform_fleet.py
@@ -22,7 +22,7 @@
 CORES = 4
 ZONE = "zone-1"
 
-KNOB_SECONDS = 2.0
+CONTROL_TIMEOUT_SECONDS = 2.0
 """Longest wait for an endpoint to obey; a paused one never does."""
 
 ROUTE = {
@@ -54,10 +54,10 @@
         self._addresses: dict[str, str] = {}
         self.zones: dict[str, str] = {}
         """Availability zones of processes; ``ZONE`` where none is given."""
-        self._run("store", ["-m", "standins.platform_store", self.store])
+        self._spawn("store", ["-m", "standins.platform_store", self.store])
         wait_for(lambda: self.write_routes(1, [ROUTE]), "store")
 
-    def _run(self, name: str, words: list[str], settings: str = "") -> None:
+    def _spawn(self, name: str, words: list[str], settings: str = "") -> None:
         environment = {**os.environ, "PYTHONPATH": f"{ROOT}:{ROOT / 'src'}"}
         if settings:
             path = self.folder / f"{name}.conf"
@@ -76,7 +76,7 @@
             self._addresses[name] = f"127.9.{os.getpid() % 250}.{number}"
         return self._addresses[name]
 
-    def find_advertised(self, name: str) -> str:
+    def find_advertised_ip(self, name: str) -> str:
         """Find the address that other processes know a process by."""
         return self.find_ip(name)
 
@@ -84,16 +84,16 @@
         """Find the availability zone of a process's VM."""
         return self.zones.get(name, ZONE)
 
-    def find_store(self, name: str) -> str:
+    def find_store_address(self, name: str) -> str:
         """Find where a process reaches the store."""
         del name
         return self.store
 
     def _write_settings(self, name: str, kind: str) -> str:
         ip = self.find_ip(name)
-        seen = self.find_advertised(name)
+        seen = self.find_advertised_ip(name)
         seeds = [
-            f"{self.find_advertised(other)}:{self.control}"
+            f"{self.find_advertised_ip(other)}:{self.control}"
             for other in self._addresses
             if other.startswith("entry")
         ]
@@ -104,7 +104,7 @@
             f"zone={self.find_zone(name)}",
             f"port-range={self.inner},{self.inner + 10}",
             f"seeds={','.join(seeds[:3])}",
-            f"platform.address={self.find_store(name)}",
+            f"platform.address={self.find_store_address(name)}",
             f"listen.control={ip}:{self.control}",
             "a-field-that-may-come=1",
         ]
@@ -120,20 +120,20 @@
         settings = self._write_settings(name, "front")
         stream = f"{self.find_ip(name)}:{self.inner}"
         words = ["deploy/launch.py", "entry", f"--stream_bind={stream}"]
-        self._run(name, words, settings)
+        self._spawn(name, words, settings)
 
     def start_agent(self, name: str) -> None:
         """Start an agent."""
         settings = self._write_settings(name, "side")
-        self._run(name, ["deploy/launch.py", "agent"], settings)
+        self._spawn(name, ["deploy/launch.py", "agent"], settings)
 
     def start_endpoint(self, name: str) -> None:
         """Start the endpoint beside an agent."""
         ip = self.find_ip(name)
         words = ["-m", "standins.platform_endpoint", SERVICE]
-        agent = f"{self.find_advertised(name)}:{self.control}"
+        agent = f"{self.find_advertised_ip(name)}:{self.control}"
         words += [f"{ip}:{self.app}", agent, str(CORES), self.find_zone(name)]
-        self._run(f"{name}-endpoint", words)
+        self._spawn(f"{name}-endpoint", words)
 
     def start(self, entries: int, agents: int) -> None:
         """Start a deployment and wait until it serves."""
@@ -159,7 +159,7 @@
 
         wait_for(is_ready, f"{entry} ready with {agents} agents")
 
-    def is_deaf_to_reloads(self, name: str) -> bool:
+    def lacks_sighup_handler(self, name: str) -> bool:
         """Tell whether a signal to reload would still end a process.
 
         So it is until the interpreter has read the program's first lines.
@@ -195,27 +195,27 @@
         url = f"http://{self.store}/operator?key=evacuate/{zone}"
         self.client.put(url, content="{}")
 
-    def take_back(self, zone: str) -> None:
+    def end_evacuation(self, zone: str) -> None:
         """End a zone's evacuation."""
         url = f"http://{self.store}/operator?key=evacuate/{zone}"
         self.client.delete(url)
 
-    def set_store(self, **knobs: Any) -> None:
+    def control_store(self, **knobs: Any) -> None:
         """Turn the store's knobs."""
         self.client.put(f"http://{self.store}/control", content=json.dumps(knobs))
 
-    def set_endpoint(self, name: str, **knobs: Any) -> None:
+    def control_endpoint(self, name: str, **knobs: Any) -> None:
         """Turn an endpoint's knobs."""
         url = f"http://{self.find_ip(name)}:{self.app}/control"
-        self.client.put(url, content=json.dumps(knobs), timeout=KNOB_SECONDS)
+        self.client.put(url, content=json.dumps(knobs), timeout=CONTROL_TIMEOUT_SECONDS)
 
-    def see_status(self, name: str) -> dict[str, Any]:
+    def read_status(self, name: str) -> dict[str, Any]:
         """Read a process's own status page."""
         url = f"http://{self.find_ip(name)}:{METRICS_PORT}/status"
         status: dict[str, Any] = self.client.get(url).json()
         return status
 
-    def see_endpoint(self, name: str) -> dict[str, Any]:
+    def read_endpoint(self, name: str) -> dict[str, Any]:
         """Tell what an endpoint has started and runs."""
         url = f"http://{self.find_ip(name)}:{self.app}/control"
         seen: dict[str, Any] = self.client.get(url).json()
@@ -240,7 +240,7 @@
         text = (self.folder / f"{name}.log").read_text()
         return [json.loads(line) for line in text.splitlines() if line[:1] == "{"]
 
-    def list_logged(self, name: str, event: str, job: str) -> list[dict[str, Any]]:
+    def list_log_events(self, name: str, event: str, job: str) -> list[dict[str, Any]]:
         """List the lines of one kind that a process has written about a job."""
         return [
             line
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -15,7 +15,7 @@
 import uvicorn
 from litestar import Litestar, Request, Response, delete, get, post, put
 
-MAX_PAGE = 500
+MAX_PAGE_ROWS = 500
 """Rows of one answer at the most."""
 
 OPERATORS_TABLES = {"op", "servers"}
@@ -51,20 +51,20 @@
     def commit(self, body: dict[str, Any]) -> bool:
         """Apply all entries of a transaction, or none."""
         for wanted in body.get("expect-rev", []):
-            row = self.rows.get(_key(wanted))
+            row = self.rows.get(_make_key(wanted))
             current = row.ver if row and row.value is not None else 0
             if current != wanted["ver"]:
                 return False
         self.revision += 1
         for each in body.get("puts", []):
-            self.rows[_key(each)] = Row(each["value"], self.revision)
+            self.rows[_make_key(each)] = Row(each["value"], self.revision)
         for each in body.get("remove", []):
-            self.rows[_key(each)] = Row(None, self.revision)
+            self.rows[_make_key(each)] = Row(None, self.revision)
         self.changed.set()
         self.changed = asyncio.Event()
         return True
 
-    def answer(self, rows: list[dict[str, Any]]) -> dict[str, Any]:
+    def make_answer(self, rows: list[dict[str, Any]]) -> dict[str, Any]:
         """Make the body of an answer about rows."""
         return {
             "rows": rows,
@@ -90,7 +90,7 @@
         return sorted(rows, key=lambda row: row["key"])
 
 
-def _key(entry: dict[str, Any]) -> RowKey:
+def _make_key(entry: dict[str, Any]) -> RowKey:
     return RowKey(entry["table"], entry.get("part", ""), entry["key"])
 
 
@@ -118,7 +118,7 @@
         if store.lose_answers > 0:
             store.lose_answers -= 1
             await asyncio.sleep(3600)
-        return Response(store.answer([]), status_code=200 if done else 412)
+        return Response(store.make_answer([]), status_code=200 if done else 412)
 
     @get("/-/rows-get")
     async def read(request: Request) -> Response[Any]:
@@ -128,8 +128,8 @@
         table = request.query_params["table"]
         first = request.query_params.get("from", "")
         rows = [row for row in store.list_rows(table, None) if row["key"] >= first]
-        limit = int(request.query_params.get("page-limit", MAX_PAGE))
-        body = store.answer(rows[:limit])
+        limit = int(request.query_params.get("page-limit", MAX_PAGE_ROWS))
+        body = store.make_answer(rows[:limit])
         return Response({**body, "has-more": len(rows) > limit})
 
     @get("/-/rows-feed")
@@ -146,8 +146,8 @@
                 while not store.list_rows(table, after):
                     await store.changed.wait()
         except TimeoutError:
-            return Response(store.answer([]))
-        return Response(store.answer(store.list_rows(table, after)))
+            return Response(store.make_answer([]))
+        return Response(store.make_answer(store.list_rows(table, after)))
 
     @put("/operator", status_code=200)
     async def operate(request: Request) -> dict[str, int]:
--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -28,8 +28,8 @@
 class Pipe(asyncio.Protocol):
     """One side of a forwarded connection."""
 
-    def __init__(self, link: "Link", towards: str) -> None:
-        self.link = link
+    def __init__(self, connection: "ForwardedConnection", towards: str) -> None:
+        self.connection = connection
         self.towards = towards
         self.transport: asyncio.Transport | None = None
 
@@ -40,23 +40,23 @@
 
     def data_received(self, data: bytes) -> None:
         """Forward, after the faults have had their turn."""
-        self.link.forward(self.towards, data)
+        self.connection.forward(self.towards, data)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Close the other side too."""
         del exc
-        self.link.end(self.towards)
+        self.connection.handle_close(self.towards)
 
 
-class Link:
+class ForwardedConnection:
     """A client's connection and the one to its target."""
 
     def __init__(self, route: "Route") -> None:
         self.route = route
         self.frozen = {"to_target": False, "to_client": False}
-        self.waiting: list[bytes] = []
+        self.unsent: list[bytes] = []
         self.held: list[tuple[str, bytes]] = []
-        self.ends: dict[str, asyncio.Transport | None] = {
+        self.transports: dict[str, asyncio.Transport | None] = {
             "to_target": None,
             "to_client": None,
         }
@@ -69,14 +69,14 @@
             self.held.append((towards, data))
             return
         if towards == "to_target":
-            data = self.route.spoil(data)
+            data = self.route.apply_data_faults(data)
         if self.route.delay:
             loop = asyncio.get_running_loop()
             loop.call_later(self.route.delay, self.write, towards, data)
         else:
             self.write(towards, data)
 
-    def release(self) -> None:
+    def deliver_held(self) -> None:
         """Pass on what was held."""
         held, self.held = self.held, []
         for towards, data in held:
@@ -84,27 +84,27 @@
 
     def write(self, towards: str, data: bytes) -> None:
         """Write bytes to an end, or keep them until it is connected."""
-        end = self.ends[towards]
+        end = self.transports[towards]
         if end is not None:
             end.write(data)
         elif towards == "to_target":
-            self.waiting.append(data)
+            self.unsent.append(data)
 
-    def end(self, towards: str) -> None:
+    def handle_close(self, towards: str) -> None:
         """One side ended: end the other, unless that would break the silence."""
         if any(self.frozen.values()):
             return
-        other = self.ends[towards]
+        other = self.transports[towards]
         if other is not None:
             if self.route.delay:
                 asyncio.get_running_loop().call_later(self.route.delay, other.close)
             else:
                 other.close()
-        self.route.links.pop(self, None)
+        self.route.connections.pop(self, None)
 
     def cut(self) -> None:
         """Close both ends."""
-        for end in self.ends.values():
+        for end in self.transports.values():
             if end is not None:
                 end.abort()
 
@@ -115,16 +115,16 @@
     def __init__(self, listen: str, targets: list[tuple[str, int]]) -> None:
         self.listen = listen
         self.targets = targets
-        self.turn = itertools.count()
+        self.next_target = itertools.count()
         # Oldest first: a set would give another order each run.
-        self.links: dict[Link, None] = {}
+        self.connections: dict[ForwardedConnection, None] = {}
         self.delay = 0.0
         self.hold = "none"
         self.refuse = False
         self.drop = 0
         self.repeat = False
 
-    def spoil(self, data: bytes) -> bytes:
+    def apply_data_faults(self, data: bytes) -> bytes:
         """Drop or repeat bytes if told to."""
         dropped, self.drop = min(self.drop, len(data)), max(0, self.drop - len(data))
         data = data[dropped:]
@@ -135,55 +135,57 @@
 
     def accept(self) -> Pipe:
         """Make the client's side of a new connection."""
-        link = Link(self)
-        return ClientPipe(link, "to_target")
+        connection = ForwardedConnection(self)
+        return ClientPipe(connection, "to_target")
 
-    async def connect(self, link: Link, client: asyncio.Transport) -> None:
+    async def connect(
+        self, connection: ForwardedConnection, client: asyncio.Transport
+    ) -> None:
         """Connect to the next target that accepts."""
-        link.ends["to_client"] = client
+        connection.transports["to_client"] = client
         if self.refuse:
             client.abort()
             return
-        self.links[link] = None
+        self.connections[connection] = None
         loop = asyncio.get_running_loop()
         for _ in range(len(self.targets)):
-            host, port = self.targets[next(self.turn) % len(self.targets)]
+            host, port = self.targets[next(self.next_target) % len(self.targets)]
             try:
                 transport, _ = await loop.create_connection(
-                    lambda: Pipe(link, "to_client"), host, port
+                    lambda: Pipe(connection, "to_client"), host, port
                 )
             except OSError:
                 continue
-            link.ends["to_target"] = transport
-            for data in link.waiting:
+            connection.transports["to_target"] = transport
+            for data in connection.unsent:
                 transport.write(data)
             return
         client.abort()
 
-    def control(self, command: dict[str, Any]) -> None:
+    def apply_command(self, command: dict[str, Any]) -> None:
         """Obey a command."""
         for name in ("delay", "refuse", "drop", "repeat", "hold"):
             if name in command:
                 setattr(self, name, command[name])
         if "hold" in command:
-            for link in self.links:
-                link.release()
+            for connection in self.connections:
+                connection.deliver_held()
         if "targets" in command:
-            self.targets = [parse(each) for each in command["targets"]]
+            self.targets = [parse_address(each) for each in command["targets"]]
         if "freeze" in command:
-            for link in self._select(command):
-                for way in link.frozen:
-                    link.frozen[way] = command["freeze"] in (way, "both")
+            for connection in self._select(command):
+                for way in connection.frozen:
+                    connection.frozen[way] = command["freeze"] in (way, "both")
         if command.get("cut"):
-            for link in self._select(command):
-                link.cut()
-                self.links.pop(link, None)
+            for connection in self._select(command):
+                connection.cut()
+                self.connections.pop(connection, None)
 
-    def _select(self, command: dict[str, Any]) -> list[Link]:
-        links = list(self.links)
-        if "link" in command and links:
-            return [links[command["link"] % len(links)]]
-        return links
+    def _select(self, command: dict[str, Any]) -> list[ForwardedConnection]:
+        connections = list(self.connections)
+        if "link" in command and connections:
+            return [connections[command["link"] % len(connections)]]
+        return connections
 
 
 class ClientPipe(Pipe):
@@ -194,11 +196,11 @@
         super().connection_made(transport)
         assert self.transport is not None
         self.connecting = asyncio.ensure_future(
-            self.link.route.connect(self.link, self.transport)
+            self.connection.route.connect(self.connection, self.transport)
         )
 
 
-def parse(address: str) -> tuple[str, int]:
+def parse_address(address: str) -> tuple[str, int]:
     """Split ``host:port`` or a bare port."""
     host, _, port = address.rpartition(":")
     return host or "127.0.0.1", int(port)
@@ -209,16 +211,18 @@
     by_address = {route.listen: route for route in routes}
     loop = asyncio.get_running_loop()
     for route in routes:
-        await loop.create_server(route.accept, *parse(route.listen))
+        await loop.create_server(route.accept, *parse_address(route.listen))
 
-    async def obey(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle_commands(
+        reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         while line := await reader.readline():
             command = json.loads(line)
-            by_address[str(command["listen"])].control(command)
+            by_address[str(command["listen"])].apply_command(command)
             writer.write(b"{}\n")
         writer.close()
 
-    server = await asyncio.start_server(obey, "127.0.0.1", control_port)
+    server = await asyncio.start_server(handle_commands, "127.0.0.1", control_port)
     await server.serve_forever()
 
 
@@ -227,7 +231,9 @@
     routes = []
     for argument in sys.argv[2:]:
         listen, _, targets = argument.partition("=")
-        routes.append(Route(listen, [parse(each) for each in targets.split(",")]))
+        routes.append(
+            Route(listen, [parse_address(each) for each in targets.split(",")])
+        )
     asyncio.run(serve(int(sys.argv[1]), routes))
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -34,7 +34,7 @@
 @pytest.fixture
 def fleet(tmp_path: Path) -> Iterator[Fleet]:
     """Start a platform and nothing else yet; end it whatever happens."""
-    started = Fleet(tmp_path / "fleet", heartbeat=0.2)
+    started = Fleet(tmp_path / "fleet", heartbeat_seconds=0.2)
     try:
         yield started
     finally:
--- a/tests/core/runs/test_evacuation.py
+++ b/tests/core/runs/test_evacuation.py
@@ -134,7 +134,7 @@
     world.run(2.0)
     for name, endpoint in world.endpoints.items():
         if endpoint is not None and world.zones[name] == "zone-1":
-            endpoint.cold_until = world.now + 4.0
+            endpoint.warming_up_until = world.now + 4.0
     world.run(2.0)
     world.take_back("zone-1")
     since = world.now
--- a/tests/core/runs/test_evacuation_exploration.py
+++ b/tests/core/runs/test_evacuation_exploration.py
@@ -54,7 +54,7 @@
         for name in self.agents:
             endpoint = self.world.endpoints[name]
             if endpoint is not None and self.world.zones[name] == zone:
-                endpoint.cold_until = until
+                endpoint.warming_up_until = until
 
     def lose_store(self) -> None:
         """Make the store unavailable to an entry for some time."""
--- a/tests/core/runs/test_failures.py
+++ b/tests/core/runs/test_failures.py
@@ -18,7 +18,7 @@
     return [
         name
         for name, endpoint in world.endpoints.items()
-        if endpoint and any(task.startswith(job) for task in endpoint.alive)
+        if endpoint and any(task.startswith(job) for task in endpoint.active_runs)
     ]
 
 
@@ -213,7 +213,7 @@
 def _make_report_event(world: RunsWorld, name: str):
     endpoint = world.endpoints[name]
     assert endpoint is not None
-    return ReportReceived(endpoint.report(world.now))
+    return ReportReceived(endpoint.make_report(world.now))
 
 
 def test_delayed_report_of_an_earlier_boot_is_ignored() -> None:
@@ -238,7 +238,9 @@
     world.run(0.2)
     endpoint = world.endpoints["agent-0"]
     assert endpoint is not None
-    foreign = endpoint.report(world.now)._replace(instance="i-foreign", service="zz")
+    foreign = endpoint.make_report(world.now)._replace(
+        instance="i-foreign", service="zz"
+    )
     world.processes["agent-0"].give(ReportReceived(foreign))
     world.run(2.0)
     agent = world.processes["agent-0"].core
@@ -255,7 +257,7 @@
     world = make_world(agents=1)
     endpoint = world.endpoints["agent-0"]
     assert endpoint is not None
-    foreign = endpoint.report(world.now)._replace(service="zz", sequence=10**6)
+    foreign = endpoint.make_report(world.now)._replace(service="zz", sequence=10**6)
     world.processes["agent-0"].give(ReportReceived(foreign))
     assert world.processes["agent-0"].core.endpoint.service == QUEUE.service
     world.run(2.0)
@@ -532,7 +534,9 @@
     for entry in ("entry-0", "entry-1"):
         world.submit(entry, make_job(f"of-{entry}", width=10, seconds=1.0))
     world.run(0.1)
-    running = [len(endpoint.alive) for endpoint in world.endpoints.values() if endpoint]
+    running = [
+        len(endpoint.active_runs) for endpoint in world.endpoints.values() if endpoint
+    ]
     assert running == [10, 10]
 
 
@@ -554,7 +558,9 @@
     endpoint = world.endpoints[name]
     assert endpoint is not None
     endpoint.advance(world.now)
-    return [life.task for life in endpoint.lives if life.ended > at] + [*endpoint.alive]
+    return [life.task for life in endpoint.ended_runs if life.ended > at] + [
+        *endpoint.active_runs
+    ]
 
 
 @pytest.mark.parametrize("unresponsive", [False, True])
--- a/tests/core/runs/test_forwarding.py
+++ b/tests/core/runs/test_forwarding.py
@@ -39,7 +39,7 @@
     endpoints = [each for each in world.endpoints.values() if each is not None]
     for endpoint in endpoints:
         endpoint.advance(world.now)
-    return sum(len(endpoint.alive) for endpoint in endpoints)
+    return sum(len(endpoint.active_runs) for endpoint in endpoints)
 
 
 def test_forwarded_job_is_served_and_answered() -> None:
--- a/tests/failures/test_answers.py
+++ b/tests/failures/test_answers.py
@@ -59,7 +59,7 @@
     """
     start_desk(fleet, agents=1, proxied=True)
     send_request(fleet.entries[0], {"run_ms": 1})
-    fleet.control(fleet.advertised(fleet.agents[0]), delay=0.15)
+    fleet.control_proxy(fleet.find_advertised_port(fleet.agents[0]), delay=0.15)
     payload = {"run_ms": 100, "nonce": "late"}
     body = {"class": "size-change", "payload": payload, "deadline_seconds": 0.3}
     late = _post(fleet, body)
@@ -70,5 +70,5 @@
 
 
 def _post(fleet: Fleet, body: dict) -> httpx.Response:
-    url = f"http://127.0.0.1:{fleet.entries[0].http}/v1/services/desk/requests"
+    url = f"http://127.0.0.1:{fleet.entries[0].http_port}/v1/services/desk/requests"
     return httpx.post(url, json=body, timeout=30)
--- a/tests/failures/test_bad_input.py
+++ b/tests/failures/test_bad_input.py
@@ -51,25 +51,25 @@
     wrong = tmp_path / "wrong.toml"
     wrong.write_text('[service]\nname = "desk"\nteem = "x"\n')
     for command in ("check", "apply", "diff"):
-        result = fleet.operate(command, str(wrong))
+        result = fleet.run_operator_command(command, str(wrong))
         assert result.returncode == 3, result.stdout
         assert "line 3" in result.stderr
         assert "service.teem" in result.stderr
         assert "remedy" in result.stderr
-    stale = fleet.operate("apply", "demo/desk.toml", "--revision=7")
+    stale = fleet.run_operator_command("apply", "demo/desk.toml", "--revision=7")
     assert stale.returncode == 4, stale.stderr
     assert "revision 1, not 7" in stale.stderr
-    assert fleet.operate("nonsense").returncode == 2
-    assert fleet.operate("drain", "nobody").returncode == 1
-    assert fleet.operate("diff", "demo/desk.toml").returncode == 0
+    assert fleet.run_operator_command("nonsense").returncode == 2
+    assert fleet.run_operator_command("drain", "nobody").returncode == 1
+    assert fleet.run_operator_command("diff", "demo/desk.toml").returncode == 0
     body = tmp_path / "job.json"
     body.write_text('{"tasks": [{"id": "a", "class": "size-change", "payload": {}}]}')
-    answer = fleet.operate("submit", str(body), "--service=desk")
+    answer = fleet.run_operator_command("submit", str(body), "--service=desk")
     assert answer.returncode == 0, answer.stderr
     assert '"complete"' in answer.stdout
-    refused = fleet.operate("submit", str(body), "--service=nobody")
+    refused = fleet.run_operator_command("submit", str(body), "--service=nobody")
     assert refused.returncode == 6, refused.stderr
-    assert "submissions_completed" in fleet.operate("counters").stdout
+    assert "submissions_completed" in fleet.run_operator_command("counters").stdout
 
 
 def test_garbage_on_the_agents_port(fleet: Fleet) -> None:
@@ -89,7 +89,7 @@
         b"\x00\x00\x00\x02\xc1\xc1",
         b"\x00\x00\x00\x7f\x01",
     ):
-        with socket.create_connection(("127.0.0.1", agent.stream), 5) as link:
+        with socket.create_connection(("127.0.0.1", agent.stream_port), 5) as link:
             link.sendall(data)
             link.settimeout(10)
             while link.recv(4096):
@@ -111,6 +111,6 @@
         timeout=30,
     )
     assert second.returncode == 1
-    assert f"127.0.0.1:{entry.http} is in use" in second.stderr
+    assert f"127.0.0.1:{entry.http_port} is in use" in second.stderr
     assert "setting 'http'" in second.stderr
     assert "Traceback" not in second.stderr
--- a/tests/failures/test_configuration.py
+++ b/tests/failures/test_configuration.py
@@ -69,7 +69,7 @@
     start_desk(fleet, entries=2, agents=1)
     both = [
         in_background(
-            fleet.operate,
+            fleet.run_operator_command,
             "apply",
             _write(tmp_path, number + 3),
             "--revision=1",
@@ -96,10 +96,12 @@
     """
     start_desk(fleet, agents=1)
     fleet.control_platform(lose_answers=1)
-    applied = fleet.operate("apply", _write(tmp_path, 5), "--revision=1")
+    applied = fleet.run_operator_command("apply", _write(tmp_path, 5), "--revision=1")
     assert applied.returncode == 0, applied.stderr
     assert "revision 2" in applied.stdout
-    waited = fleet.operate("wait", "--service=desk", "--revision=2", "--timeout=6")
+    waited = fleet.run_operator_command(
+        "wait", "--service=desk", "--revision=2", "--timeout=6"
+    )
     assert waited.returncode == 0, waited.stdout
 
 
@@ -109,10 +111,10 @@
     took = []
     for number in range(5):
         began = time.monotonic()
-        applied = fleet.operate("apply", _write(tmp_path, number + 2))
+        applied = fleet.run_operator_command("apply", _write(tmp_path, number + 2))
         assert applied.returncode == 0, applied.stderr
         for entry in range(3):
-            waited = fleet.operate(
+            waited = fleet.run_operator_command(
                 "wait",
                 "--service=desk",
                 f"--revision={number + 2}",
@@ -134,20 +136,20 @@
     Cause: a process that only asks the table.
     """
     start_desk(fleet, entries=2, agents=2)
-    applied = fleet.operate("apply", _write(tmp_path, 5))
+    applied = fleet.run_operator_command("apply", _write(tmp_path, 5))
     assert applied.returncode == 0, applied.stderr
-    fleet.operate("wait", "--service=desk", "--revision=2", "--timeout=6")
+    fleet.run_operator_command("wait", "--service=desk", "--revision=2", "--timeout=6")
     watch = Watch(fleet)
     fleet.control_platform(down=True)
     for _ in range(2):
         fleet.start_entry()
         old = fleet.entries.pop(0)
-        fleet.balance()
+        fleet.update_balancer()
         old.stop()
         assert old.process.wait(30) == 0
         answer = send_request(fleet.entries[-1], {"run_ms": 1})
         assert answer.status_code == 200, answer.text
-        assert fleet.status(len(fleet.entries) - 1)["revisions"]["desk"] == 2
+        assert fleet.read_status(len(fleet.entries) - 1)["revisions"]["desk"] == 2
     watch.finish()
 
 
@@ -162,16 +164,16 @@
     Cause: what was read last taken for what is newest.
     """
     start_desk(fleet, entries=2, agents=2)
-    fleet.entries[1].freeze()
-    applied = fleet.operate("apply", _write(tmp_path, 5), entry=0)
+    fleet.entries[1].suspend()
+    applied = fleet.run_operator_command("apply", _write(tmp_path, 5), entry=0)
     assert applied.returncode == 0, applied.stderr
     watch = Watch(fleet)
     fleet.control_platform(age_reads=1)
     fleet.start_entry()
-    fleet.entries[1].thaw()
+    fleet.entries[1].resume()
     for number in range(3):
         wait_for(
-            lambda: fleet.status(number)["revisions"].get("desk") == 2,  # noqa: B023
+            lambda: fleet.read_status(number)["revisions"].get("desk") == 2,  # noqa: B023
             f"revision 2 at entry {number}",
             10,
         )
--- a/tests/failures/test_endpoints.py
+++ b/tests/failures/test_endpoints.py
@@ -33,10 +33,10 @@
     """
     start_desk(fleet, agents=4)
     _send_many(fleet, 40)
-    before = len(fleet.record(fleet.endpoints[0])["tasks"])
+    before = len(fleet.read_record(fleet.endpoints[0])["tasks"])
     fleet.control_endpoint(fleet.endpoints[0], fail=True)
     codes = _send_many(fleet, 300)
-    taken = len(fleet.record(fleet.endpoints[0])["tasks"]) - before
+    taken = len(fleet.read_record(fleet.endpoints[0])["tasks"]) - before
     print(f"the failing endpoint took {taken} of 300 tasks")
     assert read_counter(fleet.entries[0], "ejected", "failing") >= 1
     assert taken <= 15
@@ -70,9 +70,9 @@
     for number in range(2):
         answer = send_job(fleet.entries[number], make_job(60, run_ms=20))
         assert answer.status_code == 200, answer.text
-    drained = fleet.operate("drain", fleet.agents[0].name)
+    drained = fleet.run_operator_command("drain", fleet.agents[0].name)
     assert drained.returncode == 0, drained.stdout
     answer = send_job(fleet.entries[0], make_job(60, run_ms=20))
     assert answer.status_code == 200, answer.text
-    applied = fleet.operate("apply", "demo/desk.toml")
+    applied = fleet.run_operator_command("apply", "demo/desk.toml")
     assert applied.returncode != 0
--- a/tests/failures/test_jobs.py
+++ b/tests/failures/test_jobs.py
@@ -62,7 +62,7 @@
     assert took < 5
     started = len(count_starts(fleet))
     assert started <= 16
-    status = fleet.status()
+    status = fleet.read_status()
     assert status["jobs"] == 0
     assert status["services"][0]["waiting"] == 0
 
@@ -84,12 +84,12 @@
     callers = [in_background(hang_up) for _ in range(40)]
     for caller in callers:
         caller.result(timeout=20)
-    wait_for(lambda: fleet.status()["jobs"] == 0, "the jobs to be dropped", 10)
+    wait_for(lambda: fleet.read_status()["jobs"] == 0, "the jobs to be dropped", 10)
     entry = fleet.entries[0]
     assert read_counter(entry, "submissions_failed", "cancelled") == 40
     # No slot frees before the last caller is gone, however slow the machine is.
     assert len(count_starts(fleet)) <= 4
     endpoint = fleet.endpoints[0]
-    wait_for(lambda: fleet.record(endpoint)["running"] == 0, "the runs to end", 20)
+    wait_for(lambda: fleet.read_record(endpoint)["running"] == 0, "the runs to end", 20)
     assert len(count_starts(fleet)) <= 4
     assert send_job(entry, make_job(4, run_ms=5)).status_code == 200
--- a/tests/failures/test_leaving.py
+++ b/tests/failures/test_leaving.py
@@ -2,7 +2,7 @@
 
 import httpx
 import pytest
-from standins.fleet import Fleet, Running, wait_for
+from standins.fleet import Fleet, ManagedProcess, wait_for
 
 from tests.lib.scenes import (
     await_running,
@@ -32,7 +32,7 @@
     if way == "agent":
         fleet.agents[0].stop()
     else:
-        drained = fleet.operate("drain", fleet.agents[0].name)
+        drained = fleet.run_operator_command("drain", fleet.agents[0].name)
         assert drained.returncode == 0, drained.stdout + drained.stderr
 
 
@@ -42,8 +42,8 @@
     return read_counter(fleet.agents[0], "starts")
 
 
-def _count_finished(fleet: Fleet, endpoint: Running) -> int:
-    written = fleet.record(endpoint)
+def _count_finished(fleet: Fleet, endpoint: ManagedProcess) -> int:
+    written = fleet.read_record(endpoint)
     assert written["running"] == 0
     return written["finished"]
 
@@ -63,7 +63,7 @@
     before = _count_starts_once_leaving(fleet)
     answer = job.result(timeout=30)
     assert answer.status_code == 200, answer.text
-    after = len(fleet.record(fleet.endpoints[0])["tasks"])
+    after = len(fleet.read_record(fleet.endpoints[0])["tasks"])
     assert after == before
     leaving.result(timeout=30)
     assert _count_finished(fleet, fleet.endpoints[0]) == after
@@ -97,7 +97,7 @@
     """
     start_desk(fleet, agents=1, proxied=True)
     assert send_request(fleet.entries[0], {"run_ms": 1}).is_success
-    fleet.control(fleet.advertised(fleet.agents[0]), freeze="to_client")
+    fleet.control_proxy(fleet.find_advertised_port(fleet.agents[0]), freeze="to_client")
     left = httpx.delete(f"{base_url(fleet.agents[0])}/v1/endpoint")
     assert left.json()["leaving"]
     refused = send_request(fleet.entries[0], {"run_ms": 1})
@@ -118,7 +118,8 @@
     fleet.endpoints[0].kill()
     wait_for(
         lambda: (
-            sum(each["service"] == "desk" for each in fleet.status()["agents"]) == 1
+            sum(each["service"] == "desk" for each in fleet.read_status()["agents"])
+            == 1
         ),
         "the endpoint to lapse",
         10,
--- a/tests/failures/test_refusals.py
+++ b/tests/failures/test_refusals.py
@@ -8,7 +8,7 @@
 
 import httpx
 import pytest
-from standins.fleet import Fleet, Running, is_listening, wait_for
+from standins.fleet import Fleet, ManagedProcess, is_listening, wait_for
 
 from tests.lib.scenes import (
     DEMO,
@@ -44,11 +44,11 @@
     text = (DEMO / "desk.toml").read_text()
     assert old in text
     document.write_text(text.replace(old, new))
-    applied = fleet.operate("apply", str(document))
+    applied = fleet.run_operator_command("apply", str(document))
     assert applied.returncode == 0, applied.stderr
 
 
-def _has_revision(entry: Running, revision: int) -> bool:
+def _has_revision(entry: ManagedProcess, revision: int) -> bool:
     state = httpx.get(f"{base_url(entry)}/v1/status").json()
     return state["revisions"].get("desk") == revision
 
@@ -141,11 +141,11 @@
     """
     fleet.control_platform(down=True)
     entry = fleet.start_entry(wait=False)
-    wait_for(lambda: is_listening(entry.http), "the entry to listen")
+    wait_for(lambda: is_listening(entry.http_port), "the entry to listen")
     assert httpx.get(f"{base_url(entry)}/v1/ready").status_code == 503
     answer = send_request(entry, {"run_ms": 1})
     assert answer.status_code == 503
     assert answer.json()["type"].endswith("not_ready")
     assert answer.json()["ran"] == "not_run"
     fleet.control_platform(down=False)
-    fleet.await_ready(entry)
+    fleet.wait_ready(entry)
--- a/tests/failures/test_requests.py
+++ b/tests/failures/test_requests.py
@@ -92,7 +92,7 @@
     first = in_background(send_request, fleet.entries[0], payload, "renewal", "widow")
     await_running(fleet, 1)
     for agent, endpoint in zip(fleet.agents, fleet.endpoints, strict=True):
-        if fleet.record(endpoint)["running"]:
+        if fleet.read_record(endpoint)["running"]:
             agent.kill()
     failed = first.result(timeout=30)
     assert failed.status_code == 502, failed.text
--- a/tests/failures/test_starts.py
+++ b/tests/failures/test_starts.py
@@ -60,7 +60,7 @@
     start_desk(fleet, agents=2, proxied=True)
     job = in_background(send_job, fleet.entries[0], make_job(60, run_ms=400))
     await_running(fleet, 16)
-    fleet.control(fleet.advertised(fleet.agents[0]), freeze=way)
+    fleet.control_proxy(fleet.find_advertised_port(fleet.agents[0]), freeze=way)
     answer = job.result(timeout=30)
     assert answer.status_code == 200, answer.text
     nonces = [row["body"]["nonce"] for row in answer.json()["answers"]]
@@ -79,10 +79,10 @@
     and silence are long here, so that only the start's bound can refuse.
     """
     start_desk(fleet, agents=0)
-    fleet.start_endpoint(fleet.start_agent(silence=60.0), lease=60)
-    fleet.await_agents(1)
+    fleet.start_endpoint(fleet.start_agent(silence=60.0), lease_seconds=60)
+    fleet.wait_for_agents(1)
     send_request(fleet.entries[0], {"run_ms": 1})
-    fleet.agents[0].freeze()
+    fleet.agents[0].suspend()
     answers = [
         in_background(send_request, fleet.entries[0], {"run_ms": 1}) for _ in range(4)
     ]
@@ -90,7 +90,7 @@
         failed = answer.result(timeout=40)
         assert failed.status_code in (502, 503, 504), failed.text
     before = count_starts(fleet)
-    fleet.agents[0].thaw()
+    fleet.agents[0].resume()
     wait_for(
         lambda: send_request(fleet.entries[0], {"run_ms": 1}).status_code == 200,
         "the agent to work again",
@@ -132,9 +132,9 @@
     Cause: an agent that trusts every start it reads.
     """
     start_desk(fleet, agents=1, proxied=True)
-    port = fleet.advertised(fleet.agents[0])
+    port = fleet.find_advertised_port(fleet.agents[0])
     for _ in range(10):
-        fleet.control(port, repeat=True)
+        fleet.control_proxy(port, repeat=True)
         send_job(fleet.entries[0], make_job(6, run_ms=5))
     _assert_once(fleet)
     assert count_starts(fleet)
@@ -148,8 +148,8 @@
     Cause: lengths and bodies no longer line up.
     """
     start_desk(fleet, agents=2, proxied=True)
-    port = fleet.advertised(fleet.agents[0])
-    fleet.control(port, drop=7)
+    port = fleet.find_advertised_port(fleet.agents[0])
+    fleet.control_proxy(port, drop=7)
     began = time.monotonic()
     answer = send_job(fleet.entries[0], make_job(40, run_ms=50))
     assert answer.status_code == 200, answer.text
--- a/tests/failures/test_stopping.py
+++ b/tests/failures/test_stopping.py
@@ -6,7 +6,7 @@
 
 import httpx
 import pytest
-from standins.fleet import Fleet, Running, wait_for
+from standins.fleet import Fleet, ManagedProcess, wait_for
 
 from tests.lib.scenes import base_url, start_desk
 
@@ -51,7 +51,7 @@
             thread.join(30)
 
 
-def _is_unready(entry: Running) -> bool:
+def _is_unready(entry: ManagedProcess) -> bool:
     return (
         httpx.get(f"{base_url(entry)}/v1/ready", verify=UNUSED_TLS).status_code == 503
     )
@@ -81,20 +81,20 @@
     """Replace each entry and each agent, one after the other."""
     for _ in range(2):
         fleet.start_entry()
-        fleet.balance()
+        fleet.update_balancer()
         old = fleet.entries[0]
         old.stop()
         # The balancer notices by the entry's own word, a little late.
         wait_for(partial(_is_unready, old), "it to be unready")
         fleet.entries.remove(old)
-        fleet.balance()
+        fleet.update_balancer()
         assert old.process.wait(30) == 0
-        fleet.await_agents(3)
+        fleet.wait_for_agents(3)
     for agent in list(fleet.agents):
         agent.stop()
         assert agent.process.wait(30) == 0
         fleet.restart_agent(agent)
-        fleet.await_agents(3)
+        fleet.wait_for_agents(3)
 
 
 def await_answers(load: Load) -> None:
--- a/tests/lib/runs_world.py
+++ b/tests/lib/runs_world.py
@@ -227,7 +227,7 @@
             return
         process = self.processes.get(name)
         if process is not None and not process.dead and not process.frozen:
-            process.give(ReportReceived(endpoint.report(self.now)))
+            process.give(ReportReceived(endpoint.make_report(self.now)))
         self.after(
             self.deployment.report_interval_seconds,
             lambda: self._report(name, endpoint),
@@ -318,7 +318,7 @@
                 continue
             endpoint.advance(self.now)
             used = 0
-            for task in endpoint.alive:
+            for task in endpoint.active_runs:
                 if task in seen:
                     fault = f"{self.now:.3f}: {task} at {seen[task]} and {name}"
                     self.faults.append(fault)
@@ -561,13 +561,13 @@
             return
 
         def carry_out() -> None:
-            answer = endpoint.hold(order, self.now)
+            answer = endpoint.renew_lease(order, self.now)
             until = self.now + order.wait / 1000
 
             def poll() -> None:
                 nonlocal answer
                 if not isinstance(answer, RenewalFailed):
-                    answer = endpoint.list_all(order, self.now)
+                    answer = endpoint.list_runs(order, self.now)
                     if not answer.ended and self.now < until:
                         self.after(0.005, poll)
                         return
--- a/tests/lib/scenes.py
+++ b/tests/lib/scenes.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import httpx
-from standins.fleet import Fleet, Running, wait_for
+from standins.fleet import Fleet, ManagedProcess, wait_for
 
 DEMO = Path(__file__).parent.parent.parent / "demo"
 Answer = concurrent.futures.Future
@@ -25,24 +25,27 @@
     """Start entries, agents and endpoints with the desk's document in force."""
     for _ in range(entries):
         fleet.start_entry(wait=False, **entry_settings)
-    fleet.balance()
+    fleet.update_balancer()
     for entry in fleet.entries:
-        fleet.await_ready(entry)
-    applied = fleet.operate("apply", str(DEMO / "desk.toml"))
+        fleet.wait_ready(entry)
+    applied = fleet.run_operator_command("apply", str(DEMO / "desk.toml"))
     assert applied.returncode == 0, applied.stderr
     for _ in range(agents):
         agent = fleet.start_agent(proxied=proxied)
-        fleet.start_endpoint(agent, slots=slots, lease=lease)
-    fleet.await_agents(agents)
+        fleet.start_endpoint(agent, slots=slots, lease_seconds=lease)
+    fleet.wait_for_agents(agents)
 
 
-def base_url(entry: Running) -> str:
+def base_url(entry: ManagedProcess) -> str:
     """Make the base URL of an entry."""
-    return f"http://127.0.0.1:{entry.http}"
+    return f"http://127.0.0.1:{entry.http_port}"
 
 
 def send_request(
-    entry: Running, payload: dict[str, Any], kind: str = "size-change", key: str = ""
+    entry: ManagedProcess,
+    payload: dict[str, Any],
+    kind: str = "size-change",
+    key: str = "",
 ) -> httpx.Response:
     """Send a single request and wait for the answer."""
     headers = {"Idempotency-Key": key} if key else {}
@@ -64,7 +67,7 @@
     return {"tasks": tasks}
 
 
-def send_job(entry: Running, job: dict[str, Any]) -> httpx.Response:
+def send_job(entry: ManagedProcess, job: dict[str, Any]) -> httpx.Response:
     """Send a job and wait for the answer."""
     url = f"{base_url(entry)}/v1/services/desk/jobs"
     return httpx.post(url, json=job, timeout=60)
@@ -89,7 +92,7 @@
     starts: Counter[str] = Counter()
     for endpoint in fleet.endpoints:
         if endpoint.process.poll() is None:
-            starts.update(fleet.record(endpoint)["tasks"])
+            starts.update(fleet.read_record(endpoint)["tasks"])
     return starts
 
 
@@ -98,19 +101,21 @@
     keys: Counter[str] = Counter()
     for endpoint in fleet.endpoints:
         if endpoint.process.poll() is None:
-            keys.update(fleet.record(endpoint)["keys"])
+            keys.update(fleet.read_record(endpoint)["keys"])
     return keys
 
 
 def await_running(fleet: Fleet, count: int) -> None:
     """Wait until endpoints run so many tasks at once."""
     wait_for(
-        lambda: sum(fleet.record(each)["running"] for each in fleet.endpoints) >= count,
+        lambda: (
+            sum(fleet.read_record(each)["running"] for each in fleet.endpoints) >= count
+        ),
         f"{count} running tasks",
     )
 
 
-def read_counter(entry: Running, name: str, reason: str = "") -> float:
+def read_counter(entry: ManagedProcess, name: str, reason: str = "") -> float:
     """Read one counter of a process."""
     text = httpx.get(f"{base_url(entry)}/metrics", timeout=10).text
     wanted = f'godwitbank_{name}_total{{reason="{reason}"}}'
--- a/tests/platform/test_evacuation.py
+++ b/tests/platform/test_evacuation.py
@@ -60,12 +60,12 @@
 
 
 def _count_started(platform: PlatformFleet, agent: str) -> int:
-    return len(platform.see_endpoint(agent)["started"])
+    return len(platform.read_endpoint(agent)["started"])
 
 
 def _wait_evacuated(platform: PlatformFleet, agent: str, evacuated: bool) -> None:
     wait_for(
-        lambda: platform.see_status(agent)["evacuated"] == evacuated,
+        lambda: platform.read_status(agent)["evacuated"] == evacuated,
         f"evacuated: {evacuated} at {agent}",
     )
 
@@ -84,7 +84,7 @@
     _wait_evacuated(platform, "agent-1", True)
     answer = platform.submit("entry-1", f"{JOB}0010")
     assert (answer.status_code, "retry-after" in answer.headers) == (503, True)
-    platform.take_back("zone-1")
+    platform.end_evacuation("zone-1")
     _wait_evacuated(platform, "agent-0", False)
     wait_for(
         lambda: platform.submit("entry-0", f"{JOB}0011").status_code == 200,
@@ -102,7 +102,7 @@
     _wait_evacuated(platform, "agent-0", True)
     before = _count_started(platform, "agent-0")
     away = [platform.find_ip("entry-1"), platform.find_ip("agent-0")]
-    platform.set_store(turned_away=away)
+    platform.control_store(turned_away=away)
     for name in ("entry-1", "agent-0"):
         platform.kill(name)
     platform.start_entry("entry-1")
@@ -111,14 +111,14 @@
     for number in range(6):
         answer = platform.submit("entry-1", f"{JOB}000{number}", width=4)
         assert answer.json() == {"state": "completed"}
-    assert platform.see_status("entry-1")["evacuated"] == ["zone-1"]
+    assert platform.read_status("entry-1")["evacuated"] == ["zone-1"]
     assert _count_started(platform, "agent-0") == before
 
 
 @pytest.mark.processes
 def test_a_history_that_was_lost_hides_no_evacuation(platform: PlatformFleet) -> None:
     platform.start(entries=1, agents=2)
-    platform.set_store(turned_away=["all"])
+    platform.control_store(turned_away=["all"])
     platform.evacuate("zone-1")
-    platform.set_store(oldest=0, turned_away=[])
+    platform.control_store(oldest=0, turned_away=[])
     _wait_evacuated(platform, "agent-0", True)
--- a/tests/platform/test_operators.py
+++ b/tests/platform/test_operators.py
@@ -32,7 +32,7 @@
     try:
         _wait_version(fleet, 1)
         for name in fleet.entries:
-            fleet.command(name, "store", freeze="both")
+            fleet.command_proxy(name, "store", freeze="both")
         fleet.write_routes(2, [ROUTE])
         _wait_version(fleet, 2)
     finally:
--- a/tests/platform/test_programs.py
+++ b/tests/platform/test_programs.py
@@ -19,7 +19,7 @@
     for number, entry in enumerate(("entry-0", "entry-1")):
         answer = platform.submit(entry, f"{JOB}0{number}", width=8)
         assert (answer.status_code, answer.json()) == (200, {"state": "completed"})
-    seen = [platform.see_endpoint(f"agent-{number}") for number in range(2)]
+    seen = [platform.read_endpoint(f"agent-{number}") for number in range(2)]
     assert sum(len(each["started"]) for each in seen) == 16
     assert max(each["most_at_once"] for each in seen) <= CORES
 
@@ -41,7 +41,7 @@
         assert answer.status_code == status, (path, content[:40], answer.text)
     assert platform.call("GET", "entry-0", "/checks/").json() == {"waiting": 0}
     assert platform.call("GET", "entry-0", f"/checks/{JOB}01").status_code == 410
-    assert platform.see_endpoint("agent-0")["started"] == []
+    assert platform.read_endpoint("agent-0")["started"] == []
 
 
 def test_configuration_is_in_force_everywhere_though_the_store_is_partly_down(
@@ -51,7 +51,7 @@
     # store turns one entry away while the configuration changes. Cause: that
     # entry heard of changes from the store alone.
     platform.start(entries=2, agents=1)
-    platform.set_store(turned_away=[platform.find_ip("entry-1")])
+    platform.control_store(turned_away=[platform.find_ip("entry-1")])
     moved = {**ROUTE, "prefix": "/moved/"}
     platform.write_routes(2, [moved])
     for entry in ("entry-0", "entry-1"):
@@ -66,12 +66,12 @@
 
 def test_jobs_are_served_with_the_store_down(platform: PlatformFleet) -> None:
     platform.start(entries=1, agents=1)
-    platform.set_store(turned_away=["all"])
+    platform.control_store(turned_away=["all"])
     assert platform.submit("entry-0", f"{JOB}01").json() == {"state": "completed"}
 
 
 def test_an_entry_without_configuration_refuses(platform: PlatformFleet) -> None:
-    platform.set_store(turned_away=["all"])
+    platform.control_store(turned_away=["all"])
     platform.start_entry("entry-0")
     wait_for(lambda: platform.call("GET", "entry-0", "/checks/"), "entry")
     answer = platform.submit("entry-0", f"{JOB}01")
@@ -84,10 +84,10 @@
     # lost. Cause: the agent waited for it. It must make sure instead that the
     # order is void before it gives the order again.
     platform.start(entries=1, agents=1)
-    platform.set_endpoint("agent-0", lose_starts=1)
+    platform.control_endpoint("agent-0", lose_starts=1)
     answer = platform.submit("entry-0", f"{JOB}01", width=2)
     assert answer.json() == {"state": "completed"}
-    assert len(platform.see_endpoint("agent-0")["started"]) == 2
+    assert len(platform.read_endpoint("agent-0")["started"]) == 2
 
 
 def test_a_killed_agent_is_replaced_and_the_job_goes_on(
@@ -97,11 +97,11 @@
     platform.start(entries=1, agents=1)
     with ThreadPoolExecutor() as pool:
         work = pool.submit(platform.submit, "entry-0", f"{JOB}01", CORES, 1.0)
-        wait_for(lambda: platform.see_endpoint("agent-0")["alive"], "runs")
+        wait_for(lambda: platform.read_endpoint("agent-0")["alive"], "runs")
         platform.kill("agent-0")
         platform.start_agent("agent-0")
         assert work.result().json() == {"state": "completed"}
-    assert platform.see_endpoint("agent-0")["most_at_once"] <= CORES
+    assert platform.read_endpoint("agent-0")["most_at_once"] <= CORES
 
 
 def test_runs_of_a_killed_entry_are_stopped(platform: PlatformFleet) -> None:
@@ -109,10 +109,10 @@
     platform.start(entries=2, agents=1)
     with ThreadPoolExecutor() as pool:
         work = pool.submit(platform.submit, "entry-0", f"{JOB}01", 1, 20.0)
-        wait_for(lambda: platform.see_endpoint("agent-0")["alive"], "run")
+        wait_for(lambda: platform.read_endpoint("agent-0")["alive"], "run")
         platform.kill("entry-0")
         assert work.exception() is not None
-    wait_for(lambda: not platform.see_endpoint("agent-0")["alive"], "end of the run")
+    wait_for(lambda: not platform.read_endpoint("agent-0")["alive"], "end of the run")
 
 
 def test_a_stopped_entry_answers_what_it_took(platform: PlatformFleet) -> None:
@@ -120,7 +120,7 @@
     platform.start(entries=1, agents=1)
     with ThreadPoolExecutor() as pool:
         work = pool.submit(platform.submit, "entry-0", f"{JOB}01", 1, 1.5)
-        wait_for(lambda: platform.see_endpoint("agent-0")["alive"], "run")
+        wait_for(lambda: platform.read_endpoint("agent-0")["alive"], "run")
         platform.kill("entry-0", signal.SIGTERM)
         assert work.result().json() == {"state": "completed"}
     assert platform.processes["entry-0"].wait(timeout=20) == 0
@@ -130,7 +130,7 @@
 
 def test_a_draining_endpoint_gets_nothing_new(platform: PlatformFleet) -> None:
     platform.start(entries=1, agents=1)
-    platform.set_endpoint("agent-0", draining=True)
+    platform.control_endpoint("agent-0", draining=True)
     wait_for(
         lambda: platform.submit("entry-0", f"{JOB}01").status_code == 503,
         "refusals while the only endpoint drains",
@@ -142,22 +142,24 @@
 ) -> None:
     # The path of docs/OPERATIONS.md: every task of this job fails.
     platform.start(entries=1, agents=1)
-    platform.set_endpoint("agent-0", fails=True)
+    platform.control_endpoint("agent-0", fails=True)
     answer = platform.submit("entry-0", f"{JOB}01", width=1)
     assert answer.json() == {"state": "failed"}
     job = f"{JOB}01"
     # Lines are written a little after what they tell.
-    wait_for(lambda: platform.list_logged("entry-0", "job_ended", job), "the job's end")
-    (ended,) = platform.list_logged("entry-0", "job_ended", job)
+    wait_for(
+        lambda: platform.list_log_events("entry-0", "job_ended", job), "the job's end"
+    )
+    (ended,) = platform.list_log_events("entry-0", "job_ended", job)
     assert ended["reason"] == "attempts"
     wait_for(
         lambda: (
-            len(platform.list_logged("agent-0", "run_ended", job))
+            len(platform.list_log_events("agent-0", "run_ended", job))
             == ROUTE["max-attempts"]
         ),
         "the end of each run",
     )
-    runs = platform.list_logged("agent-0", "run_ended", job)
+    runs = platform.list_log_events("agent-0", "run_ended", job)
     assert [line["end"] for line in runs] == ["failed"] * ROUTE["max-attempts"]
 
 
--- a/tests/soak/test_checks.py
+++ b/tests/soak/test_checks.py
@@ -1,7 +1,7 @@
 """Each promise, broken by hand, and what the soak's checks say to it."""
 
-from soak.checks import find_faults
-from soak.records import NEVER, Attempt, Run, Taken
+from soak.checks import find_violations
+from soak.records import NEVER, Attempt, JobEvent, Run
 
 RUN = Run("agent-0", "j1.0.0.0", 1, 10.0, 10.5, "done", False, 1, 0.0)
 ATTEMPT = Attempt("j1", 1, "entry-0", 9.9, 10.6, 200, "completed", False)
@@ -10,9 +10,9 @@
 def find(
     attempts: tuple[Attempt, ...] = (ATTEMPT,),
     runs: tuple[Run, ...] = (RUN,),
-    taken: tuple[Taken, ...] = (),
+    taken: tuple[JobEvent, ...] = (),
 ) -> str:
-    return " ".join(find_faults(list(attempts), list(runs), list(taken), 4))
+    return " ".join(find_violations(list(attempts), list(runs), list(taken), 4))
 
 
 def test_a_job_that_went_well_is_no_fault() -> None:
@@ -32,7 +32,7 @@
 
 
 def test_an_endpoint_over_its_capacity_is_noticed() -> None:
-    assert "ran 5 at once" in find(runs=(RUN._replace(alive=5),))
+    assert "ran 5 at once" in find(runs=(RUN._replace(active_runs=5),))
 
 
 def test_a_start_after_the_drain_is_noticed_unless_it_was_held_up() -> None:
@@ -60,8 +60,8 @@
 
 
 def test_a_request_that_planned_work_cut_is_noticed() -> None:
-    cut = ATTEMPT._replace(status=0, state="", planned=True)
-    read = Taken("entry-0", "j1", 10.0)
+    cut = ATTEMPT._replace(status=0, state="", planned_only=True)
+    read = JobEvent("entry-0", "j1", 10.0)
     assert "cut at entry-0" in find(attempts=(cut,), taken=(read,))
     assert find(attempts=(cut,), taken=(read._replace(at=12.0),)) == ""
-    assert find(attempts=(cut._replace(planned=False),), taken=(read,)) == ""
+    assert find(attempts=(cut._replace(planned_only=False),), taken=(read,)) == ""
--- a/tests/soak/test_play.py
+++ b/tests/soak/test_play.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 
 import pytest
-from soak.play import play
+from soak.play import run_seed
 
 pytestmark = pytest.mark.processes
 
@@ -29,6 +29,6 @@
 
 
 def _check(seed: int, seconds: float, folder: Path, size: int, newer: bool) -> None:
-    outcome = play(seed, seconds, folder, size, size, newer)
+    outcome = run_seed(seed, seconds, folder, size, size, newer)
     assert outcome.jobs
-    assert outcome.faults == [], outcome.begun
+    assert outcome.violations == [], outcome.injected_faults
--- a/tests/soak/test_records.py
+++ b/tests/soak/test_records.py
@@ -7,7 +7,7 @@
 
 import pytest
 from litestar.testing import TestClient
-from soak.records import LONGEST_LEASE, read_runs
+from soak.records import MAX_LEASE_SECONDS, read_runs
 from standins.platform_endpoint import Daemon, make_app
 
 BEGAN = {
@@ -26,7 +26,7 @@
     [
         ([("killed", 12.0)], 12.0),
         # Seed 205: paused and then killed; its runs had lapsed, and began elsewhere.
-        ([("paused", 10.2), ("killed", 14.0)], 10.2 + LONGEST_LEASE),
+        ([("paused", 10.2), ("killed", 14.0)], 10.2 + MAX_LEASE_SECONDS),
         ([("paused", 10.2), ("resumed", 10.4), ("killed", 14.0)], 14.0),
     ],
 )
@@ -49,7 +49,7 @@
             return len(text)
 
     monkeypatch.setattr(sys, "stdout", Output())
-    Daemon("desk", "127.0.0.1:1", "127.0.0.1:2", 4, "zone-1").tell(event="began")
+    Daemon("desk", "127.0.0.1:1", "127.0.0.1:2", 4, "zone-1").write_event(event="began")
     assert [text[-1:] for text in written] == ["\n"]
 
 
@@ -58,7 +58,7 @@
 ) -> None:
     daemon = Daemon("desk", "127.0.0.1:1", "127.0.0.1:2", 4, "zone-1")
     order = {"task": "j1.0.0.0", "run": 1, "spec": "0.01", "fence-token": 1}
-    until = {"deadline-ms": daemon.fake.clock(daemon.now) + 1000, "fence-token": 1}
+    until = {"deadline-ms": daemon.endpoint.clock(daemon.now) + 1000, "fence-token": 1}
     with TestClient(make_app(daemon)) as client:
         client.post("/-/run-start", json={**order, **until})
         body = {**until, "last-seen": 0, "wait-ms": 500}
