--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -1,4 +1,4 @@
-"""Shows the whole path: two deployments, a job, requests, a drain, a summary."""
+"""Demonstrate two deployments: jobs, single requests, a drain and a summary."""
 
 import json
 import random
@@ -19,7 +19,12 @@
 
 
 class Tally:
-    """Answers checked against the nonces that were sent."""
+    """Counts of tasks, and of answers checked against the nonces that were sent.
+
+    :ivar tasks: tasks that were submitted.
+    :ivar answered: answers that were received.
+    :ivar wrong: answers that hold another nonce.
+    """
 
     def __init__(self) -> None:
         self.tasks = 0
@@ -33,13 +38,18 @@
 
 
 def submit_job(base: str, service: str, kind: str, tally: Tally) -> float:
-    """Submit a job of 460 tasks and check every answer."""
-    chance = random.Random(460)
+    """Submit a job of 460 tasks and check every answer.
+
+    :param base: base URL of the balancer.
+    :param kind: class of the tasks.
+    :return: duration in seconds.
+    """
+    rng = random.Random(460)
     tasks = [
         {
             "id": f"t{number}",
             "class": kind,
-            "payload": {"run_ms": chance.randint(50, 1000), "nonce": f"n{number}"},
+            "payload": {"run_ms": rng.randint(50, 1000), "nonce": f"n{number}"},
         }
         for number in range(TASK_COUNT)
     ]
@@ -56,8 +66,13 @@
 
 
 def submit_requests(base: str, service: str, kind: str, tally: Tally) -> float:
-    """Submit single, non-idempotent requests one after the other."""
-    took = []
+    """Submit single, non-idempotent requests one after the other.
+
+    :param base: base URL of the balancer.
+    :param kind: class of the requests.
+    :return: median response time in seconds.
+    """
+    durations = []
     with httpx.Client(base_url=base, timeout=60) as client:
         for number in range(REQUEST_COUNT):
             nonce = f"{service}-{number}"
@@ -67,30 +82,30 @@
             began = time.monotonic()
             path = f"/v1/services/{service}/requests"
             answer = client.post(path, json=body, headers=headers)
-            took.append(time.monotonic() - began)
+            durations.append(time.monotonic() - began)
             if answer.is_success:
                 tally.check(nonce, answer.json())
             else:
                 print("  request failed:", answer.text)
-    return sorted(took)[len(took) // 2]
+    return sorted(durations)[len(durations) // 2]
 
 
 def run_deployment(fleet: Fleet, service: str, kind: str, tally: Tally) -> None:
-    """Submit requests beside a job and print what came back."""
+    """Submit requests and a job at the same time, and print how long they take."""
     base = f"http://127.0.0.1:{fleet.balancer_http}"
-    times: list[float] = []
+    job_seconds: list[float] = []
     job_kind = {"desk": "size-change", "sheets": "history"}[service]
 
-    def work() -> None:
-        times.append(submit_job(base, service, job_kind, tally))
+    def submit() -> None:
+        job_seconds.append(submit_job(base, service, job_kind, tally))
 
-    thread = threading.Thread(target=work)
+    thread = threading.Thread(target=submit)
     thread.start()
     median = submit_requests(base, service, kind, tally)
     thread.join()
     print(
         f"  {service}: {REQUEST_COUNT} single requests, median {median * 1000:.0f} ms;"
-        f" a job of {TASK_COUNT} tasks in {times[0]:.1f} s"
+        f" a job of {TASK_COUNT} tasks in {job_seconds[0]:.1f} s"
     )
 
 
@@ -99,9 +114,9 @@
     tasks: Counter[str] = Counter()
     keys: Counter[str] = Counter()
     for endpoint in endpoints:
-        written = fleet.read_record(endpoint)
-        tasks.update(written["tasks"])
-        keys.update(written["keys"])
+        record = fleet.read_record(endpoint)
+        tasks.update(record["tasks"])
+        keys.update(record["keys"])
     return sum(count > 1 for counts in (tasks, keys) for count in counts.values())
 
 
@@ -129,20 +144,22 @@
         waited = fleet.run_operator_command("wait", "--service=sheets", "--revision=2")
         print(" ", waited.stdout.strip())
         print("working, while agent-1 is drained")
-        drains: list[str] = []
+        drain_outputs: list[str] = []
 
         def drain() -> None:
             time.sleep(1.0)
-            drains.append(fleet.run_operator_command("drain", "agent-1").stdout.strip())
+            drain_outputs.append(
+                fleet.run_operator_command("drain", "agent-1").stdout.strip()
+            )
 
-        drainer = threading.Thread(target=drain)
-        drainer.start()
+        drain_thread = threading.Thread(target=drain)
+        drain_thread.start()
         run_deployment(fleet, "desk", "renewal", tally)
         run_deployment(fleet, "sheets", "sign-off", tally)
-        drainer.join()
-        print(" ", drains[0])
+        drain_thread.join()
+        print(" ", drain_outputs[0])
         print(fleet.run_operator_command("status").stdout.rstrip())
-        twice = count_duplicate_starts(fleet, fleet.endpoints)
+        duplicate_starts = count_duplicate_starts(fleet, fleet.endpoints)
         print("stopping gracefully")
     finally:
         fleet.stop()
@@ -151,10 +168,12 @@
         "answered": tally.answered,
         "wrong": tally.wrong,
         "unanswered": tally.tasks - tally.answered,
-        "started_twice": twice,
+        "started_twice": duplicate_starts,
     }
     print(json.dumps(summary))
-    return 0 if tally.answered == tally.tasks and not tally.wrong + twice else 1
+    return (
+        0 if tally.answered == tally.tasks and not tally.wrong + duplicate_starts else 1
+    )
 
 
 if __name__ == "__main__":
--- a/demo/stay.py
+++ b/demo/stay.py
@@ -1,4 +1,4 @@
-"""Starts a small deployment, prints its address and stays until interrupted."""
+"""Start a small deployment, print its address and run until interrupted."""
 
 import signal
 import sys
@@ -10,7 +10,7 @@
 
 
 def main() -> None:
-    """Start one entry and two agents of the desk, and wait for a signal."""
+    """Start one entry and two agents of the ``desk`` service, and wait for a signal."""
     signal.signal(signal.SIGTERM, lambda number, frame: sys.exit(0))
     fleet = Fleet(Path("run/stay"))
     try:
--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,4 +1,6 @@
-"""A randomized soak: real processes, faults from outside, promises checked.
+"""A randomized soak test of real processes under injected faults.
 
-``python -m soak --seeds 50`` plays fifty seeds, ``--first N`` from another one.
+Each seed determines a series of faults. After it, the guarantees are checked against
+what callers and endpoints recorded. ``python -m soak --seeds 50`` runs fifty seeds;
+``--first N`` sets the first one.
 """
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -1,43 +1,44 @@
-"""The promises, checked against what callers and endpoints have seen."""
+"""Checks of the guarantees against what callers and endpoints recorded."""
 
 from collections.abc import Iterator
 
 from soak.records import Attempt, JobEvent, Run, group_by_job, group_by_task
 
 DRAIN_BOUND_SECONDS = 2.0
-"""Seconds after the acknowledgement of a drain in which starts may still come
-(users' bound)."""
+"""Seconds after the acknowledgement of a drain during which runs may still start
+(a bound that the users set)."""
 
 EVACUATION_BOUND_SECONDS = 5.0
-"""Seconds after a zone's evacuation in which runs may still start there (users'
-bound)."""
+"""Seconds after the start of a zone's evacuation during which runs may still start
+there (a bound that the users set)."""
 
 REFUSAL_STATUSES = (429, 503)
+"""HTTP statuses which promise that no task of the job was started."""
 
 
 def find_violations(
-    attempts: list[Attempt], runs: list[Run], taken: list[JobEvent], cores: int
+    attempts: list[Attempt], runs: list[Run], job_events: list[JobEvent], cores: int
 ) -> list[str]:
-    """Say which promises were broken, each with what shows it.
+    """Describe each violation of a guarantee, with the evidence for it.
 
-    :param taken: what entries wrote down about jobs.
-    :param cores: tasks that fit on one endpoint at once.
+    :param job_events: log events of entries about jobs.
+    :param cores: number of tasks that fit on one endpoint at once.
     """
     return [
-        *_find_twice(runs),
-        *_find_overfull(runs, cores),
-        *_find_after_drain(runs),
-        *_find_after_evacuation(runs),
+        *_find_overlapping_runs(runs),
+        *_find_overloaded_endpoints(runs, cores),
+        *_find_starts_after_drain(runs),
+        *_find_starts_after_evacuation(runs),
         *_find_false_refusals(attempts, runs),
         *_find_false_completions(attempts, runs),
-        *_find_cut(attempts, taken),
+        *_find_cut_requests(attempts, job_events),
     ]
 
 
-def _find_twice(runs: list[Run]) -> Iterator[str]:
-    for task, lives in group_by_task(runs).items():
-        for position, later in enumerate(lives):
-            for earlier in lives[:position]:
+def _find_overlapping_runs(runs: list[Run]) -> Iterator[str]:
+    for task, task_runs in group_by_task(runs).items():
+        for index, later in enumerate(task_runs):
+            for earlier in task_runs[:index]:
                 if earlier.ended > later.began:
                     yield (
                         f"{task} ran twice at once: run {earlier.number} at "
@@ -46,20 +47,20 @@
                     )
 
 
-def _find_overfull(runs: list[Run], cores: int) -> Iterator[str]:
+def _find_overloaded_endpoints(runs: list[Run], cores: int) -> Iterator[str]:
     for run in runs:
         if run.active_runs > cores:
             yield f"{run.endpoint} ran {run.active_runs} at once when {run.task} began"
 
 
-def _find_after_drain(runs: list[Run]) -> Iterator[str]:
+def _find_starts_after_drain(runs: list[Run]) -> Iterator[str]:
     for run in runs:
-        drained = run.drain_heard_at + DRAIN_BOUND_SECONDS
-        if run.drain_heard_at and not run.late and run.began > drained:
-            yield f"{run.task} began {run.began - drained:.3f} s after the drain"
+        drain_bound = run.drain_heard_at + DRAIN_BOUND_SECONDS
+        if run.drain_heard_at and not run.late and run.began > drain_bound:
+            yield f"{run.task} began {run.began - drain_bound:.3f} s after the drain"
 
 
-def _find_after_evacuation(runs: list[Run]) -> Iterator[str]:
+def _find_starts_after_evacuation(runs: list[Run]) -> Iterator[str]:
     for run in runs:
         bound = run.evacuated_at + EVACUATION_BOUND_SECONDS
         if run.evacuated_at and not run.late and run.began > bound:
@@ -68,8 +69,10 @@
 
 def _find_false_refusals(attempts: list[Attempt], runs: list[Run]) -> Iterator[str]:
     started = {run.job for run in runs}
-    for job, tries in group_by_job(attempts).items():
-        if job in started and all(each.status in REFUSAL_STATUSES for each in tries):
+    for job, job_attempts in group_by_job(attempts).items():
+        if job in started and all(
+            each.status in REFUSAL_STATUSES for each in job_attempts
+        ):
             yield f"{job} was refused at every try as not run, and ran"
 
 
@@ -78,19 +81,22 @@
     for attempt in attempts:
         if attempt.state != "completed":
             continue
-        names = {f"{attempt.job}.0.0.{index}" for index in range(attempt.width)}
-        if not names <= done:
-            missing = sorted(names - done)
+        task_ids = {f"{attempt.job}.0.0.{index}" for index in range(attempt.width)}
+        if not task_ids <= done:
+            missing = sorted(task_ids - done)
             yield f"{attempt.job} was called completed without {missing}"
 
 
-def _find_cut(attempts: list[Attempt], taken: list[JobEvent]) -> Iterator[str]:
+def _find_cut_requests(
+    attempts: list[Attempt], job_events: list[JobEvent]
+) -> Iterator[str]:
     for attempt in attempts:
-        # What no process has read was not cut by one; it came after its end.
+        # A request that no process has read arrived after the process had exited, so
+        # the process did not cut it off.
         read = any(
             (each.entry, each.job) == (attempt.entry, attempt.job)
             and attempt.sent_at <= each.at <= attempt.ended_at
-            for each in taken
+            for each in job_events
         )
         if attempt.planned_only and attempt.status == 0 and read:
             yield f"{attempt.job} was cut at {attempt.entry} by planned work alone"
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -1,4 +1,4 @@
-"""Callers: they keep connections open, and come again when one breaks."""
+"""Callers that keep connections open and retry when one breaks."""
 
 import threading
 import time
@@ -12,22 +12,23 @@
 from soak.records import Attempt
 
 RETRY_AFTER_SECONDS = 1.3
-"""Wait of a caller after a broken connection (users' figure)."""
+"""Delay of a caller's retry after a broken connection (a figure from the users)."""
 
 TIMEOUT_SECONDS = 10.0
 MAX_ATTEMPTS = 4
 DUPLICATE_SHARE = 0.15
-"""Share of the jobs that are handed in at two entries at once."""
+"""Share of the jobs that are submitted to two entries at once."""
 
 MEAN_PAUSE_SECONDS = 0.15
-"""Mean wait of a caller between two jobs; four of them fill some two thirds of a
-deployment of three endpoints."""
+"""Mean pause of a caller between two jobs; four callers use about two thirds of the
+capacity of three endpoints."""
 
 
 class Callers:
-    """Threads that hand jobs in until told to stop.
+    """Threads that submit jobs until they are stopped.
 
-    :param twice: whether some jobs are handed in at two entries at once.
+    :param count: number of threads.
+    :param duplicates: whether some jobs are submitted to two entries at once.
     """
 
     def __init__(
@@ -45,12 +46,15 @@
         for thread in self._threads:
             thread.start()
 
-    def set_planned_only(self, planned: bool) -> None:
-        """Note that from now on nothing but planned work is under way, or not."""
-        self._planned_since = read_boot_time() if planned else None
+    def set_planned_only(self, planned_only: bool) -> None:
+        """Set whether only planned work is in progress from now on.
+
+        :param planned_only: ``False`` while faults may be in effect.
+        """
+        self._planned_since = read_boot_time() if planned_only else None
 
     def stop(self) -> None:
-        """Let every caller have its answer, and end."""
+        """Wait until every caller has its response, and stop all of them."""
         self._stop.set()
         for thread in self._threads:
             thread.join()
@@ -62,43 +66,43 @@
         with httpx.Client(limits=limits, trust_env=False) as client:
             while not self._stop.is_set():
                 number += 1
-                self._hand_in(client, rng, f"{caller:04x}{number:012x}")
+                self._submit(client, rng, f"{caller:04x}{number:012x}")
                 self._stop.wait(rng.expovariate(1 / MEAN_PAUSE_SECONDS))
 
-    def _hand_in(self, client: httpx.Client, rng: Random, job: str) -> None:
+    def _submit(self, client: httpx.Client, rng: Random, job: str) -> None:
         width = rng.choice((1, 2, 2, 4, 8))
         body = make_body(width, rng.choice((0.05, 0.1, 0.1, 0.4, 1.2)))
-        several = len(self._fleet.entries) > 1
-        if self._duplicates and several and rng.random() < DUPLICATE_SHARE:
-            self._hand_in_twice(client, rng, job, width, body)
+        has_several_entries = len(self._fleet.entries) > 1
+        if self._duplicates and has_several_entries and rng.random() < DUPLICATE_SHARE:
+            self._submit_twice(client, rng, job, width, body)
             return
         until = read_boot_time() + TIMEOUT_SECONDS
         for _ in range(MAX_ATTEMPTS):
             entry = rng.choice(self._fleet.entries)
-            attempt = self._try(client, job, width, body, entry, until)
+            attempt = self._send_attempt(client, job, width, body, entry, until)
             self.attempts.append(attempt)
             broken = attempt.status in (0, 502, 504)
             if not broken or read_boot_time() + RETRY_AFTER_SECONDS > until:
                 return
             time.sleep(RETRY_AFTER_SECONDS)
 
-    def _hand_in_twice(
+    def _submit_twice(
         self, client: httpx.Client, rng: Random, job: str, width: int, body: str
     ) -> None:
-        """Hand a job in at two entries at once, as a retry in a balancer may."""
+        """Submit a job to two entries at once, as a retry by a balancer may do."""
         first, second = rng.sample(self._fleet.entries, 2)
         until = read_boot_time() + TIMEOUT_SECONDS
 
-        def hand_in(entry: str) -> None:
-            attempt = self._try(client, job, width, body, entry, until)
+        def submit(entry: str) -> None:
+            attempt = self._send_attempt(client, job, width, body, entry, until)
             self.attempts.append(attempt)
 
-        other = threading.Thread(target=hand_in, args=(second,))
+        other = threading.Thread(target=submit, args=(second,))
         other.start()
-        hand_in(first)
+        submit(first)
         other.join()
 
-    def _try(
+    def _send_attempt(
         self,
         client: httpx.Client,
         job: str,
@@ -110,23 +114,32 @@
         fleet = self._fleet
         url = f"http://{fleet.find_advertised_ip(entry)}:{fleet.front}/checks/{job}"
         sent_at = read_boot_time()
-        left = max(0.5, until - sent_at)
-        headers = {"Host": "desk.example", "Deadline-Ms": str(int(left * 1000))}
+        remaining_seconds = max(0.5, until - sent_at)
+        headers = {
+            "Host": "desk.example",
+            "Deadline-Ms": str(int(remaining_seconds * 1000)),
+        }
         status, state = 0, ""
         excused = False
         try:
-            answer = client.post(url, content=body, headers=headers, timeout=left)
+            answer = client.post(
+                url, content=body, headers=headers, timeout=remaining_seconds
+            )
             status = answer.status_code
             state = answer.json().get("state", "")
         except httpx.ConnectError:
-            # Nobody listens: no request was taken, so none was cut.
+            # The connection was refused, so no request was accepted or cut off.
             excused = True
         except httpx.ReadTimeout:
-            # The caller's own time limit; the entry was not the one to break off.
+            # The caller's own timeout; the entry did not cut off the request.
             excused = True
         except httpx.HTTPError:
             status = 0
-        since = self._planned_since
-        planned = since is not None and sent_at >= since and not excused
+        planned_since = self._planned_since
+        planned_only = (
+            planned_since is not None and sent_at >= planned_since and not excused
+        )
         ended_at = read_boot_time()
-        return Attempt(job, width, entry, sent_at, ended_at, status, state, planned)
+        return Attempt(
+            job, width, entry, sent_at, ended_at, status, state, planned_only
+        )
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults from outside the processes: each begins, and most end by themselves."""
+"""Faults injected from outside the processes; most of them end after some time."""
 
 import contextlib
 import signal
@@ -14,10 +14,10 @@
 
 
 class InjectedFault(NamedTuple):
-    """A fault that was begun.
+    """A fault that was injected.
 
-    :param seconds: how long it lasts.
-    :param undo: ends it.
+    :param seconds: seconds after which it is to end.
+    :param undo: function that ends it.
     """
 
     description: str
@@ -30,47 +30,48 @@
 
 
 class FaultInjector:
-    """Draws faults and brings them upon a deployment.
+    """Choose faults at random and inject them into a deployment.
 
-    :param newer: whether the newer kinds come, too: zones that are emptied, connections
-        that all go silent. Without, a seed draws the same faults as before them.
+    :param extended: whether to include the evacuation of zones and the freezing of all
+        connections. Without them, a seed chooses the same faults as it did before
+        these kinds existed.
     """
 
     def __init__(self, fleet: SoakFleet, rng: Random, extended: bool = True) -> None:
         self._fleet = fleet
         self._rng = rng
-        self._kinds = (
+        self._injectors = (
             self._kill,
             self._kill,
             self._pause,
             self._pause,
             self._stop,
             self._reload,
-            self._hold,
-            self._hold,
+            self._hold_data,
+            self._hold_data,
             self._freeze,
             self._cut,
             self._delay,
             self._lose_orders,
-            self._make_grey,
+            self._degrade_endpoint,
             self._drain,
             self._disturb_store,
             self._kill_all_entries,
-            *([self._empty_zone, self._silence] if extended else []),
+            *([self._evacuate_zone, self._freeze_all] if extended else []),
         )
 
     def inject(self) -> InjectedFault:
-        """Draw a fault and begin it."""
-        return self._rng.choice(self._kinds)()
+        """Choose a fault at random and inject it."""
+        return self._rng.choice(self._injectors)()
 
-    def _pick(self) -> str:
+    def _choose_process(self) -> str:
         fleet = self._fleet
         names = (
             fleet.entries + fleet.agents + [f"{each}-endpoint" for each in fleet.agents]
         )
         return self._rng.choice(names)
 
-    def _pick_route(self) -> tuple[str, str]:
+    def _choose_route(self) -> tuple[str, str]:
         fleet = self._fleet
         routes = [(name, kind) for name in fleet.entries for kind in ("front", "inner")]
         routes += [(name, "inner") for name in fleet.entries]
@@ -79,7 +80,7 @@
         return self._rng.choice(routes)
 
     def _kill(self) -> InjectedFault:
-        name = self._pick()
+        name = self._choose_process()
         self._fleet.stop_process(name)
         seconds = self._rng.choice((0.1, 0.6, 3.0))
         return InjectedFault(
@@ -96,7 +97,7 @@
             self._fleet.start_process(name)
 
     def _pause(self) -> InjectedFault:
-        name = self._pick()
+        name = self._choose_process()
         self._fleet.set_paused(name, True)
         seconds = self._rng.choice((0.3, 0.9, 2.0, 4.0))
         return InjectedFault(
@@ -106,9 +107,9 @@
     def _stop(self) -> InjectedFault:
         name = self._rng.choice(self._fleet.entries + self._fleet.agents)
         self._fleet.stop_process(name, signal.SIGTERM)
-        return InjectedFault(f"stop {name}", 6.0, lambda: self._replace(name))
+        return InjectedFault(f"stop {name}", 6.0, lambda: self._restart(name))
 
-    def _replace(self, name: str) -> None:
+    def _restart(self, name: str) -> None:
         self._fleet.stop_process(name)
         self._fleet.start_process(name)
 
@@ -119,38 +120,40 @@
             self._fleet.kill(name, signal.SIGHUP)
         return InjectedFault(f"reload {name}", 0.0, _do_nothing)
 
-    def _hold(self) -> InjectedFault:
-        name, kind = self._pick_route()
-        way = self._rng.choice(("to_target", "to_client", "both"))
-        self._fleet.command_proxy(name, kind, hold=way)
+    def _hold_data(self) -> InjectedFault:
+        name, kind = self._choose_route()
+        direction = self._rng.choice(("to_target", "to_client", "both"))
+        self._fleet.command_proxy(name, kind, hold=direction)
         seconds = self._rng.choice((0.3, 1.0, 3.0))
         return InjectedFault(
-            f"hold {kind} of {name}, {way}",
+            f"hold {kind} of {name}, {direction}",
             seconds,
-            lambda: self._release(name, kind),
+            lambda: self._end_hold(name, kind),
         )
 
-    def _release(self, name: str, kind: str) -> None:
+    def _end_hold(self, name: str, kind: str) -> None:
         self._fleet.command_proxy(name, kind, hold="none")
 
     def _freeze(self) -> InjectedFault:
-        name, kind = self._pick_route()
-        way = self._rng.choice(("to_target", "to_client", "both"))
+        name, kind = self._choose_route()
+        direction = self._rng.choice(("to_target", "to_client", "both"))
         link = self._rng.randrange(100)
-        self._fleet.command_proxy(name, kind, freeze=way, link=link)
-        return InjectedFault(f"freeze {kind} {link} of {name}, {way}", 0.0, _do_nothing)
+        self._fleet.command_proxy(name, kind, freeze=direction, link=link)
+        return InjectedFault(
+            f"freeze {kind} {link} of {name}, {direction}", 0.0, _do_nothing
+        )
 
-    def _silence(self) -> InjectedFault:
+    def _freeze_all(self) -> InjectedFault:
         self._fleet.freeze_connections()
         return InjectedFault("silence all connections", 0.0, _do_nothing)
 
     def _cut(self) -> InjectedFault:
-        name, kind = self._pick_route()
+        name, kind = self._choose_route()
         self._fleet.command_proxy(name, kind, cut=True)
         return InjectedFault(f"cut {kind} of {name}", 0.0, _do_nothing)
 
     def _delay(self) -> InjectedFault:
-        name, kind = self._pick_route()
+        name, kind = self._choose_route()
         delay = self._rng.choice((0.02, 0.1, 0.3))
         self._fleet.command_proxy(name, kind, delay=delay)
         return InjectedFault(
@@ -165,27 +168,31 @@
     def _lose_orders(self) -> InjectedFault:
         name = self._rng.choice(self._fleet.agents)
         after = self._rng.choice((0.0, 0.5, 3.0))
-        self._set(name, lose_starts=self._rng.randint(1, 4), carry_out_after=after)
+        self._control_endpoint(
+            name, lose_starts=self._rng.randint(1, 4), carry_out_after=after
+        )
         return InjectedFault(
             f"lose orders of {name}, late by {after}", 0.0, _do_nothing
         )
 
-    def _make_grey(self) -> InjectedFault:
+    def _degrade_endpoint(self) -> InjectedFault:
         name = self._rng.choice(self._fleet.agents)
         how = self._rng.choice(
             ({"fails": True}, {"hangs": True}, {"speed": 5.0}, {"unhealthy": True})
         )
-        self._set(name, **how)
-        return InjectedFault(f"{how} at {name}", 3.0, lambda: self._set(name))
+        self._control_endpoint(name, **how)
+        return InjectedFault(
+            f"{how} at {name}", 3.0, lambda: self._control_endpoint(name)
+        )
 
     def _drain(self) -> InjectedFault:
         name = self._rng.choice(self._fleet.agents)
-        self._set(name, draining=True)
+        self._control_endpoint(name, draining=True)
         return InjectedFault(
-            f"drain {name}", 4.0, lambda: self._replace(f"{name}-endpoint")
+            f"drain {name}", 4.0, lambda: self._restart(f"{name}-endpoint")
         )
 
-    def _empty_zone(self) -> InjectedFault:
+    def _evacuate_zone(self) -> InjectedFault:
         zone = f"zone-{self._rng.randint(1, ZONES)}"
         self._fleet.evacuate_zone(zone)
         seconds = self._rng.choice((0.5, 4.0, 7.0))
@@ -193,19 +200,19 @@
             f"empty {zone}", seconds, lambda: self._fleet.end_zone_evacuation(zone)
         )
 
-    def _set(self, name: str, **knobs: object) -> None:
-        # An endpoint that is down or paused doesn't hear it; the fault is void.
+    def _control_endpoint(self, name: str, **controls: object) -> None:
+        # An endpoint that is down or paused can't receive it; the fault has no effect.
         with contextlib.suppress(httpx.HTTPError):
-            self._fleet.control_endpoint(name, **knobs)
+            self._fleet.control_endpoint(name, **controls)
 
     def _disturb_store(self) -> InjectedFault:
         fleet = self._fleet
-        away = [fleet.find_ip(name) for name in fleet.entries[:1]]
+        turned_away = [fleet.find_ip(name) for name in fleet.entries[:1]]
         how = self._rng.choice(
             (
                 {"turned_away": ["all"], "silent": False},
                 {"turned_away": ["all"], "silent": True},
-                {"turned_away": away, "silent": False},
+                {"turned_away": turned_away, "silent": False},
                 {"lose_answers": 3},
                 {"oldest": 0},
             )
@@ -217,7 +224,7 @@
         self._fleet.control_store(turned_away=[], silent=False, lose_answers=0)
 
     def restore_all(self) -> None:
-        """End whatever may still be wrong."""
+        """End all faults that may still be in effect, and restart what has exited."""
         fleet = self._fleet
         self._restore_store()
         for number in range(1, ZONES + 1):
@@ -227,8 +234,8 @@
                 fleet.command_proxy(name, kind, hold="none", delay=0.0)
         for name in fleet.agents:
             fleet.set_paused(f"{name}-endpoint", False)
-            self._replace(f"{name}-endpoint")
+            self._restart(f"{name}-endpoint")
         for name in fleet.entries + fleet.agents:
             fleet.set_paused(name, False)
             if name in fleet.ended_at or name in fleet.list_unexpected_exits():
-                self._replace(name)
+                self._restart(name)
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -1,4 +1,4 @@
-"""A deployment whose every connection goes through the fault proxy."""
+"""A deployment in which every connection goes through the fault proxy."""
 
 import json
 import signal
@@ -11,25 +11,30 @@
 from standins.platform_fleet import PlatformFleet
 
 ZONES = 2
-"""Availability zones that processes stand in by turns."""
+"""Number of availability zones; processes are assigned to them in turn."""
 
 CONNECTION_KINDS = ("front", "inner", "app", "control", "store")
-"""What a connection to or from a VM is for: callers to an entry, streams to an
-entry, an agent's calls to its endpoint, the endpoint's reports to its agent, and a
-process's calls to the store."""
+"""Purposes of connections to or from a VM: callers to an entry, streams to an entry,
+an agent's calls to its endpoint, an endpoint's reports to its agent, and a process's
+calls to the store."""
 
 
 class SoakFleet(PlatformFleet):
-    """Entries and agents that know each other by the proxy's addresses only."""
+    """Entries and agents that reach each other only through the proxy.
+
+    :param entries: number of entries.
+    :param agents: number of agents, each with an endpoint.
+    """
 
     def __init__(self, folder: Path, entries: int, agents: int) -> None:
         super().__init__(folder)
         self.entries = [f"entry-{number}" for number in range(entries)]
         self.agents = [f"agent-{number}" for number in range(agents)]
         self.ended_at: dict[str, float] = {}
-        """When a process was killed on purpose; absent while it should run."""
-        for position, name in enumerate(self.entries + self.agents):
-            self.zones[name] = f"zone-{1 + position % ZONES}"
+        """Monotonic time, in seconds, at which each process was stopped on purpose; a
+        process that should be running is absent."""
+        for index, name in enumerate(self.entries + self.agents):
+            self.zones[name] = f"zone-{1 + index % ZONES}"
         self._control = pick_port()
         self._store_port = self.store.rpartition(":")[2]
         names = self.entries + self.agents
@@ -41,32 +46,37 @@
         self._start_all()
 
     def _make_route(self, name: str, kind: str) -> str:
-        listen = self._find_listen(name, kind)
+        listen = self._find_proxy_address(name, kind)
         port = listen.rpartition(":")[2]
         target = self.store if kind == "store" else f"{self.find_ip(name)}:{port}"
         return f"{listen}={target}"
 
-    def _find_listen(self, name: str, kind: str) -> str:
+    def _find_proxy_address(self, name: str, kind: str) -> str:
         port = self._store_port if kind == "store" else getattr(self, kind)
         return f"{self.find_advertised_ip(name)}:{port}"
 
     def find_advertised_ip(self, name: str) -> str:
-        """Find the proxy's address in front of a VM."""
+        """Find the IP address of the proxy in front of a VM."""
         start, _, number = self.find_ip(name).rpartition(".")
         return f"{start}.{int(number) + 100}"
 
     def find_store_address(self, name: str) -> str:
-        """Find where a process reaches the store, through the proxy."""
-        return self._find_listen(name, "store")
+        """Find the proxy's address at which a process reaches the store."""
+        return self._find_proxy_address(name, "store")
 
     def command_proxy(self, name: str, kind: str, **command: Any) -> bool:
-        """Tell the proxy what to do with connections of one kind at one VM."""
-        listen = self._find_listen(name, kind)
+        """Send a command to the proxy about connections of one kind at one VM.
+
+        :param kind: one of ``CONNECTION_KINDS``.
+        :param command: see ``standins.proxy``.
+        :return: whether the proxy acknowledged the command.
+        """
+        listen = self._find_proxy_address(name, kind)
         line = json.dumps({"listen": listen, **command}).encode() + b"\n"
         try:
-            with socket.create_connection(("127.0.0.1", self._control)) as link:
-                link.sendall(line)
-                return bool(link.recv(16))
+            with socket.create_connection(("127.0.0.1", self._control)) as connection:
+                connection.sendall(line)
+                return bool(connection.recv(16))
         except OSError:
             return False
 
@@ -79,12 +89,12 @@
         self.wait_all_ready()
 
     def wait_all_ready(self) -> None:
-        """Wait until every entry sees every agent open."""
+        """Wait until every entry is ready and sees that all agents accept runs."""
         for name in self.entries:
             self.wait_ready(name, len(self.agents))
 
     def start_process(self, name: str) -> None:
-        """Start an entry, an agent or an endpoint, unless it runs."""
+        """Start an entry, an agent or an endpoint, unless it is running."""
         running = self.processes.get(name)
         if running is not None and running.poll() is None:
             return
@@ -97,56 +107,62 @@
             self.start_agent(name)
 
     def stop_process(self, name: str, how: int = signal.SIGKILL) -> None:
-        """Kill a process, or ask it to stop and don't wait."""
+        """Kill a process, or send it another signal without waiting for its exit.
+
+        :param how: number of the signal.
+        """
         if self.processes[name].poll() is None:
             self.ended_at[name] = time.monotonic()
             self.kill(name, how)
-            # A killed process ends some time before its end is seen here.
+            # The process exits a short time before its exit is detected here.
             if how == signal.SIGKILL:
-                self._write(name, "killed")
+                self._log_event(name, "killed")
 
-    def _write(self, name: str, event: str) -> None:
-        """Add a line to a process's log that says what was done to it."""
+    def _log_event(self, name: str, event: str) -> None:
+        """Append an event about a process to its log."""
         line = {"event": event, "at": time.monotonic()}
         with (self.folder / f"{name}.log").open("a") as log:
             log.write(json.dumps(line) + "\n")
 
     def freeze_connections(self) -> None:
-        """Let all open streams, and connections to the store, go silent for good."""
+        """Freeze all streams and connections to the store that are open now."""
         for name in self.entries:
             self.command_proxy(name, "inner", freeze="both")
         for name in self.entries + self.agents:
             self.command_proxy(name, "store", freeze="both")
 
     def evacuate_zone(self, zone: str) -> None:
-        """Evacuate a zone, and write down since when at its endpoints."""
+        """Evacuate a zone, and log the event for its endpoints."""
         self.evacuate(zone)
-        self._note_zone(zone, "evacuated")
+        self._log_zone_event(zone, "evacuated")
 
     def end_zone_evacuation(self, zone: str) -> None:
-        """Take a zone back; from now on runs may start there."""
-        self._note_zone(zone, "taken back")
+        """End the evacuation of a zone, so that runs may start there again.
+
+        The event is logged first, as runs may start as soon as the evacuation ends.
+        """
+        self._log_zone_event(zone, "taken back")
         self.end_evacuation(zone)
 
-    def _note_zone(self, zone: str, event: str) -> None:
+    def _log_zone_event(self, zone: str, event: str) -> None:
         for name in self.agents:
             if self.zones[name] == zone:
-                self._write(f"{name}-endpoint", event)
+                self._log_event(f"{name}-endpoint", event)
 
     def set_paused(self, name: str, paused: bool) -> None:
-        """Suspend a process, or let it go on."""
+        """Suspend a process with SIGSTOP, or resume it with SIGCONT."""
         if self.processes[name].poll() is None:
             how = signal.SIGSTOP if paused else signal.SIGCONT
             self.processes[name].send_signal(how)
-            self._write(name, "paused" if paused else "resumed")
+            self._log_event(name, "paused" if paused else "resumed")
 
     def wait_exited(self, name: str) -> None:
-        """Wait for the end of a process that was asked to stop."""
+        """Wait for the exit of a process that was told to stop."""
         process = self.processes[name]
         wait_for(lambda: process.poll() is not None, f"the end of {name}")
 
     def list_unexpected_exits(self) -> list[str]:
-        """List the processes that ended though nobody ended them."""
+        """List the processes that exited without having been stopped on purpose."""
         return [
             name
             for name, process in self.processes.items()
--- a/soak/play.py
+++ b/soak/play.py
@@ -1,4 +1,4 @@
-"""One seed: faults in series and overlapping, then calm, then planned work alone."""
+"""Run one seed: overlapping faults, then recovery, then planned work alone."""
 
 import heapq
 import itertools
@@ -20,22 +20,26 @@
 
 CALLERS = 5
 MAX_OVERLAPPING_FAULTS = 4
-"""Faults that may overlap."""
+"""Maximum number of faults in effect at once."""
 
 PAUSE_CHOICES_SECONDS = (0.05, 0.2, 0.6)
-"""Seconds between one fault and the next."""
+"""Seconds between one fault and the next; one of these is chosen at random."""
 
 CONFIGURATION_BOUND_SECONDS = 5.0
-"""Seconds after connections went silent in which a change must be in force: until
-processes are held to bounds, and the bound (users' figures)."""
+"""Seconds after connections were frozen within which a change of configuration must be
+in effect: the time until the bounds apply to processes, plus the bound itself (both
+figures from the users)."""
 
 MOVED_ROUTE = {**ROUTE, "name": "moved", "prefix": "/moved/"}
 
 
 class SeedResult(NamedTuple):
-    """What a seed showed.
+    """The result of one seed.
 
-    :param faults: promises that were broken; empty if all held.
+    :param violations: violations of guarantees; empty if all guarantees held.
+    :param injected_faults: descriptions of the injected faults, each with its time.
+    :param jobs: number of jobs that were submitted.
+    :param runs: number of runs that endpoints recorded.
     """
 
     seed: int
@@ -53,21 +57,27 @@
     agents: int,
     extended: bool = True,
 ) -> SeedResult:
-    """Play one seed and check what callers and endpoints saw.
-
-    :param seconds: how long faults come.
-    :param newer: whether the newer kinds of faults come, too.
+    """Run one seed and check what callers and endpoints recorded.
+
+    :param seconds: seconds during which faults are injected.
+    :param folder: folder for settings files and logs.
+    :param entries: number of entries.
+    :param agents: number of agents, each with an endpoint.
+    :param extended: whether to include the further kinds of faults (see
+        ``FaultInjector``) and jobs that are submitted to two entries at once.
     """
     fleet = SoakFleet(folder, entries, agents)
     callers = Callers(fleet, seed, CALLERS, duplicates=extended)
     try:
         rng = Random(seed)
-        faults = FaultInjector(fleet, rng, extended)
-        injected_faults = _disturb(faults, rng, seconds)
-        broken = [f"{name} ended by itself" for name in fleet.list_unexpected_exits()]
-        faults.restore_all()
+        injector = FaultInjector(fleet, rng, extended)
+        injected_faults = _inject_faults(injector, rng, seconds)
+        violations = [
+            f"{name} ended by itself" for name in fleet.list_unexpected_exits()
+        ]
+        injector.restore_all()
         fleet.wait_all_ready()
-        _wait_served(fleet, seed)
+        _wait_until_served(fleet, seed)
         callers.set_planned_only(True)
         _restart_entries(fleet)
         callers.set_planned_only(False)
@@ -76,33 +86,35 @@
         callers.stop()
         fleet.stop()
     runs = read_runs(folder)
-    broken += find_violations(callers.attempts, runs, read_job_events(folder), CORES)
+    violations += find_violations(
+        callers.attempts, runs, read_job_events(folder), CORES
+    )
     jobs = len({attempt.job for attempt in callers.attempts})
-    return SeedResult(seed, broken, injected_faults, jobs, len(runs))
+    return SeedResult(seed, violations, injected_faults, jobs, len(runs))
 
 
-def _disturb(faults: FaultInjector, rng: Random, seconds: float) -> list[str]:
+def _inject_faults(injector: FaultInjector, rng: Random, seconds: float) -> list[str]:
     injected_faults: list[str] = []
-    order = itertools.count()
-    open_faults: list[tuple[float, int, Undo]] = []
+    fault_numbers = itertools.count()
+    active_faults: list[tuple[float, int, Undo]] = []
     until = time.monotonic() + seconds
     while time.monotonic() < until:
-        while open_faults and open_faults[0][0] <= time.monotonic():
-            heapq.heappop(open_faults)[2]()
-        if len(open_faults) < MAX_OVERLAPPING_FAULTS:
-            fault = faults.inject()
+        while active_faults and active_faults[0][0] <= time.monotonic():
+            heapq.heappop(active_faults)[2]()
+        if len(active_faults) < MAX_OVERLAPPING_FAULTS:
+            fault = injector.inject()
             injected_faults.append(
                 f"{time.monotonic():.3f} {fault.description} for {fault.seconds}"
             )
             ends_at = time.monotonic() + fault.seconds
-            heapq.heappush(open_faults, (ends_at, next(order), fault.undo))
+            heapq.heappush(active_faults, (ends_at, next(fault_numbers), fault.undo))
         time.sleep(rng.choice(PAUSE_CHOICES_SECONDS))
-    for _, _, undo in sorted(open_faults, key=lambda each: each[:2]):
+    for _, _, undo in sorted(active_faults, key=lambda each: each[:2]):
         undo()
     return injected_faults
 
 
-def _wait_served(fleet: SoakFleet, seed: int) -> None:
+def _wait_until_served(fleet: SoakFleet, seed: int) -> None:
     numbers = itertools.count(1)
     for entry in fleet.entries:
 
@@ -114,7 +126,7 @@
 
 
 def _restart_entries(fleet: SoakFleet) -> None:
-    """Stop each entry and start it again, callers' connections open all the while."""
+    """Restart each entry in turn while callers keep their connections open."""
     for name in fleet.entries:
         fleet.stop_process(name, signal.SIGTERM)
         fleet.wait_exited(name)
@@ -123,9 +135,9 @@
 
 
 def _change_configuration(fleet: SoakFleet) -> None:
-    """Replace the route while all that entries could hear of it by goes silent.
+    """Replace the route while all connections that could deliver it are frozen.
 
-    The old one must go everywhere in time, and never come back.
+    Every entry must replace the old route in time, and must not return to it.
     """
     fleet.freeze_connections()
     fleet.write_routes(10**6, [MOVED_ROUTE])
@@ -133,7 +145,7 @@
         is_moved = partial(_is_moved, fleet, name)
         wait_for(is_moved, f"the new route at {name}", CONFIGURATION_BOUND_SECONDS)
     for name in fleet.entries:
-        assert _is_moved(fleet, name), f"{name} went back to an older configuration"
+        assert _is_moved(fleet, name), f"{name} returned to an older configuration"
 
 
 def _is_moved(fleet: SoakFleet, name: str) -> bool:
--- a/soak/records.py
+++ b/soak/records.py
@@ -1,4 +1,4 @@
-"""What callers saw, and what endpoints wrote down, as typed records."""
+"""Typed records of what callers, entries and endpoints observed."""
 
 import json
 from collections import defaultdict
@@ -8,15 +8,19 @@
 NEVER = float("inf")
 
 MAX_LEASE_SECONDS = 1.0 / 0.98
-"""Seconds of the longest lease, on a clock that is 2 % slow."""
+"""Seconds that the longest lease, of 1 s, lasts on a clock that is 2 % slow."""
 
 
 class Attempt(NamedTuple):
-    """One try of a caller to hand a job in.
-
-    :param status: HTTP status; 0 if the connection broke or none came about.
-    :param state: how the job ended, if the answer says so.
-    :param planned: whether only planned work was under way all the while.
+    """One attempt of a caller to submit a job.
+
+    :param width: number of tasks of the job.
+    :param sent_at: time of the request, in seconds since boot.
+    :param ended_at: time of the response or error, in seconds since boot.
+    :param status: HTTP status; 0 if the connection broke or couldn't be opened.
+    :param state: final state of the job, if the response contains it.
+    :param planned_only: whether only planned work was in progress during the attempt,
+        and the attempt didn't fail at the caller's timeout or for want of a listener.
     """
 
     job: str
@@ -30,13 +34,16 @@
 
 
 class Run(NamedTuple):
-    """One run of a task at one boot of an endpoint.
-
-    :param late: the order was carried out seconds after it was given.
-    :param alive: runs at work there just after this one began.
+    """One run of a task at an endpoint; times are in seconds.
+
+    :param endpoint: name of the agent that the endpoint belongs to.
+    :param number: number of this run of the task.
+    :param ended: time of the end; ``NEVER`` if no end was recorded.
+    :param end: how the run ended; empty if it ended with the endpoint or hasn't ended.
+    :param late: whether the order was carried out seconds after it was given.
+    :param active_runs: number of active runs at the endpoint just after the start.
     :param drain_heard_at: when the endpoint's drain was acknowledged, or 0.
-    :param evacuated_at: since when its zone is evacuated, or 0.
-    :param end: how it ended; empty if the endpoint was killed meanwhile.
+    :param evacuated_at: when the evacuation of its zone started, or 0.
     """
 
     endpoint: str
@@ -57,7 +64,10 @@
 
 
 class JobEvent(NamedTuple):
-    """An entry wrote down something about a job, so it has read its request."""
+    """A log event of an entry about a job; it shows that the entry read the request.
+
+    :param at: time of the event, in seconds since boot.
+    """
 
     entry: str
     job: str
@@ -65,7 +75,7 @@
 
 
 def read_job_events(folder: Path) -> list[JobEvent]:
-    """Read when each entry wrote down something about a job."""
+    """Read the log events of all entries about jobs."""
     lines = [
         json.loads(line)
         for path in sorted(folder.glob("entry-*.log"))
@@ -76,7 +86,7 @@
 
 
 def read_runs(folder: Path) -> list[Run]:
-    """Read what all endpoints have written down."""
+    """Read the runs of all endpoints from their logs."""
     runs: list[Run] = []
     for path in sorted(folder.glob("*-endpoint.log")):
         lines = [
@@ -84,11 +94,11 @@
             for line in path.read_text().splitlines()
             if line.startswith("{") and line.endswith("}")
         ]
-        runs += _pair(path.name.removesuffix("-endpoint.log"), lines)
+        runs += _pair_events(path.name.removesuffix("-endpoint.log"), lines)
     return runs
 
 
-def _pair(endpoint: str, lines: list[dict[str, Any]]) -> list[Run]:
+def _pair_events(endpoint: str, lines: list[dict[str, Any]]) -> list[Run]:
     runs: list[Run] = []
     open_runs: dict[tuple[str, int], Run] = {}
     paused_at = NEVER
@@ -116,8 +126,8 @@
         elif line["event"] in ("evacuated", "taken back"):
             evacuated_at = line["at"] if line["event"] == "evacuated" else 0.0
         elif line["event"] == "killed":
-            # A paused endpoint gets no renewal, so its runs lapse though it can't
-            # write that down before it is killed.
+            # The leases of a paused endpoint lapse, as it receives no renewal; it is
+            # killed before it can log the end of its runs.
             ended = min(line["at"], paused_at + MAX_LEASE_SECONDS)
             runs += [run._replace(ended=ended) for run in open_runs.values()]
             open_runs.clear()
@@ -134,7 +144,7 @@
 
 
 def group_by_job(attempts: list[Attempt]) -> dict[str, list[Attempt]]:
-    """Group attempts by job, in the order in which they ended."""
+    """Group attempts by job, in the order in which they are listed."""
     grouped: dict[str, list[Attempt]] = defaultdict(list)
     for attempt in attempts:
         grouped[attempt.job].append(attempt)
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for what stands outside the project; never shipped."""
+"""Stand-ins for external systems, used by tests and benchmarks; not shipped."""
--- a/standins/endpoint.py
+++ b/standins/endpoint.py
@@ -1,9 +1,10 @@
 """An example endpoint whose run times and faults are set by the request.
 
-The payload may hold ``run_ms``, ``fail`` (answer 500), ``short`` (cut the answer
-short), ``nonce`` (returned). It writes down every start and counts those of one
-task or one idempotency key that started twice; ``GET /record`` shows them.
-``PUT /control`` makes it fail everything, or multiply its run times.
+The payload may hold ``run_ms``, ``fail`` (respond with status 500), ``short`` (send
+fewer bytes than Content-Length announces and close the connection) and ``nonce``
+(returned in the response). The endpoint counts the starts of each task and of each
+idempotency key, so that duplicate starts can be found; ``GET /record`` returns the
+counts. ``PUT /control`` makes every task fail, or multiplies the run times.
 """
 
 import argparse
@@ -21,7 +22,7 @@
 
 
 class Endpoint:
-    """State of one endpoint."""
+    """Run tasks, and count their starts."""
 
     def __init__(self, service: str, slots: int) -> None:
         self.service = service
@@ -35,7 +36,11 @@
         self.control = {"fail": False, "factor": 1.0}
 
     async def run(self, headers: dict[str, str], payload: dict) -> tuple[int, dict]:
-        """Run one task."""
+        """Run one task.
+
+        :param headers: request headers, with names in lower case.
+        :return: status and body of the response.
+        """
         self.tasks[headers.get("godwitbank-task", "")] += 1
         if "idempotency-key" in headers:
             self.keys[headers["idempotency-key"]] += 1
@@ -52,7 +57,7 @@
         return 200, {"nonce": payload.get("nonce"), "by": self.instance}
 
     def describe(self) -> dict:
-        """Show what was started."""
+        """Return the counts of starts and of runs in progress."""
         return {
             "tasks": dict(self.tasks),
             "keys": dict(self.keys),
@@ -63,7 +68,7 @@
 
 
 class Connection(asyncio.Protocol):
-    """One HTTP/1.1 connection; just enough of the protocol for an agent."""
+    """One HTTP/1.1 connection, with the subset of the protocol that an agent uses."""
 
     def __init__(self, endpoint: Endpoint) -> None:
         self.endpoint = endpoint
@@ -72,12 +77,12 @@
         self.task: asyncio.Task | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Serve each complete request."""
+        """Serve the request as soon as it is complete."""
         self.buffer += data
         head, separator, rest = self.buffer.partition(b"\r\n\r\n")
         if not separator:
@@ -92,13 +97,13 @@
             return
         self.buffer = rest[length:]
         method, path, _ = lines[0].split(" ")
-        serving = self.serve(method, path, headers, rest[:length])
-        self.task = asyncio.ensure_future(serving)
+        request = self.serve(method, path, headers, rest[:length])
+        self.task = asyncio.ensure_future(request)
 
     async def serve(
         self, method: str, path: str, headers: dict[str, str], body: bytes
     ) -> None:
-        """Answer one request."""
+        """Handle one request and write its response."""
         short = False
         if path == "/run":
             payload = json.loads(body or b"null") or {}
@@ -125,7 +130,12 @@
 async def renew_registration_forever(
     endpoint: Endpoint, agent: str, port: int, lease_seconds: float
 ) -> None:
-    """Announce the endpoint to its agent and renew for ever."""
+    """Register the endpoint with its agent, and renew the registration forever.
+
+    :param agent: ``host:port`` of the agent.
+    :param port: port on which the endpoint listens.
+    :param lease_seconds: seconds for which a registration is valid.
+    """
     body = {
         "service": endpoint.service,
         "url": f"http://127.0.0.1:{port}",
@@ -145,7 +155,7 @@
 
 
 async def unregister(agent: str) -> None:
-    """Tell the agent, and wait until nothing runs."""
+    """Unregister from the agent, and wait until no task is running."""
     async with httpx.AsyncClient(base_url=f"http://{agent}", timeout=1.0) as client:
         with contextlib.suppress(httpx.HTTPError):
             state = (await client.delete("/v1/endpoint")).json()
@@ -155,7 +165,7 @@
 
 
 async def serve() -> None:
-    """Serve until SIGTERM, then leave gracefully."""
+    """Serve until SIGTERM, then unregister and let running tasks finish."""
     parser = argparse.ArgumentParser()
     parser.add_argument("port", type=int)
     parser.add_argument("agent")
@@ -170,13 +180,13 @@
     )
     stopping = asyncio.Event()
     loop.add_signal_handler(signal.SIGTERM, stopping.set)
-    renewing = asyncio.create_task(
+    renewal = asyncio.create_task(
         renew_registration_forever(
             endpoint, arguments.agent, arguments.port, arguments.lease
         )
     )
     await stopping.wait()
-    renewing.cancel()
+    renewal.cancel()
     await unregister(arguments.agent)
     server.close()
 
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,7 +1,7 @@
-"""Starts a small deployment of real processes on loopback.
+"""Start a small deployment of real processes on loopback.
 
-Used by the demonstration, the tests and the benchmarks. Ends every process it
-started, by its pid.
+Used by the demonstration, the tests and the benchmarks. Every process that was
+started is terminated by its PID.
 """
 
 import json
@@ -25,10 +25,10 @@
 
 
 def pick_port() -> int:
-    """Pick a free port below the range that outgoing connections use.
+    """Pick a free port below the ephemeral range.
 
-    A port from the ephemeral range could be taken by somebody's outgoing
-    connection between this look and the process's own bind.
+    An outgoing connection of any process could take a port of the ephemeral range
+    between this check and the bind of the process that is to listen on it.
     """
     if not _next_port[0]:
         _next_port[0] = 10_000 + (os.getpid() * 97) % 20_000
@@ -48,7 +48,10 @@
 
 
 class ManagedProcess(NamedTuple):
-    """A started process and where it listens."""
+    """A started process and the ports it listens on.
+
+    :param stream_port: port for streams; 0 if the process accepts none.
+    """
 
     name: str
     process: subprocess.Popen
@@ -56,27 +59,33 @@
     stream_port: int
 
     def kill(self) -> None:
-        """Kill without notice."""
+        """Kill the process with SIGKILL and wait for its exit."""
         self.process.kill()
         self.process.wait()
 
     def stop(self) -> None:
-        """Ask to stop; returns at once."""
+        """Send SIGTERM, without waiting for the exit."""
         self.process.send_signal(signal.SIGTERM)
 
     def suspend(self) -> None:
-        """Stop the process from running."""
+        """Suspend the process with SIGSTOP."""
         self.process.send_signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Let it run again."""
+        """Resume the suspended process with SIGCONT."""
         self.process.send_signal(signal.SIGCONT)
 
 
 def wait_for(
     check: Callable[[], Any], what: str, timeout_seconds: float = WAIT_TIMEOUT_SECONDS
 ) -> Any:
-    """Poll until ``check`` gives something true."""
+    """Poll until ``check`` returns a true value, and return that value.
+
+    HTTP errors raised by ``check`` count as a false value.
+
+    :param what: what is awaited, for the error message.
+    :raises AssertionError: if the timeout expires first.
+    """
     until = time.monotonic() + timeout_seconds
     while True:
         try:
@@ -86,12 +95,19 @@
         if found:
             return found
         if time.monotonic() > until:
-            raise AssertionError(f"waited {timeout_seconds} s in vain for {what}")
+            raise AssertionError(
+                f"timed out after {timeout_seconds} s waiting for {what}"
+            )
         time.sleep(POLL_INTERVAL_SECONDS)
 
 
 class Fleet:
-    """Entries, agents, endpoints, proxies and the platform."""
+    """Entries, agents, endpoints, proxies and the stand-in for the platform.
+
+    :param folder: folder for settings files and logs.
+    :param heartbeat_seconds: heartbeat interval of entries and agents.
+    :param delay_seconds: delay each way of the proxies in front of agents.
+    """
 
     def __init__(
         self, folder: Path, heartbeat_seconds: float = 1.0, delay_seconds: float = 0.0
@@ -104,7 +120,8 @@
         self.agents: list[ManagedProcess] = []
         self.endpoints: list[ManagedProcess] = []
         self.proxies: dict[int, int] = {}
-        self._all: list[subprocess.Popen] = []
+        """Control port of each proxy, by the port on which it listens."""
+        self._processes: list[subprocess.Popen] = []
         self._logs: list[Any] = []
         self.platform = self._start_platform()
         self.balancer_http = pick_port()
@@ -120,7 +137,7 @@
         process = subprocess.Popen(
             [sys.executable, *command], stdout=log, stderr=log, cwd=ROOT
         )
-        self._all.append(process)
+        self._processes.append(process)
         return process
 
     def _start_platform(self) -> ManagedProcess:
@@ -132,10 +149,14 @@
         return running
 
     def start_proxy(self, *targets: int, delay_seconds: float = 0.0) -> int:
-        """Start a fault proxy to some ports; returns its own port."""
+        """Start a fault proxy that forwards to the target ports.
+
+        :param delay_seconds: delay added each way.
+        :return: the port on which the proxy listens.
+        """
         control, port = pick_port(), pick_port()
-        joined = ",".join(str(target) for target in targets)
-        command = ("-m", "standins.proxy", str(control), f"{port}={joined}")
+        target_list = ",".join(str(target) for target in targets)
+        command = ("-m", "standins.proxy", str(control), f"{port}={target_list}")
         self.start_process(f"proxy-{port}", *command)
         self.proxies[port] = control
         wait_for(lambda: is_listening(control), "the proxy")
@@ -144,19 +165,22 @@
         return port
 
     def control_proxy(self, port: int, **command: Any) -> None:
-        """Tell a proxy which fault to inject."""
+        """Send a command to the proxy that listens on a port.
+
+        :param command: see ``standins.proxy``.
+        """
         line = json.dumps({"listen": port, **command}).encode() + b"\n"
         with socket.create_connection(("127.0.0.1", self.proxies[port])) as link:
             link.sendall(line)
             link.recv(16)
 
-    def control_platform(self, **knobs: Any) -> None:
-        """Set the platform's knobs of failure."""
+    def control_platform(self, **controls: Any) -> None:
+        """Set the fault controls of the platform stand-in."""
         url = f"http://127.0.0.1:{self.platform.http_port}/control"
-        httpx.put(url, json=knobs, timeout=10).raise_for_status()
+        httpx.put(url, json=controls, timeout=10).raise_for_status()
 
     def update_balancer(self) -> None:
-        """Point the balancer at the entries there are now."""
+        """Point the balancer at the current entries; start it on first use."""
         http = ",".join(str(entry.http_port) for entry in self.entries)
         stream = ",".join(str(entry.stream_port) for entry in self.entries)
         if self._balancer is not None:
@@ -176,7 +200,13 @@
     def start_entry(
         self, zone: str = "a", wait: bool = True, baseline: str = "", **more: Any
     ) -> ManagedProcess:
-        """Start one entry; ``baseline`` names one of ``bench.baselines``."""
+        """Start one entry.
+
+        :param wait: whether to wait until the entry is ready.
+        :param baseline: name of one of ``bench.baselines`` to run instead of the
+            project's entry.
+        :param more: further settings, or replacements of those set here.
+        """
         number = len(self.entries)
         name = f"entry-{number}-{time.monotonic_ns() % 100000}"
         http, stream = pick_port(), pick_port()
@@ -192,7 +222,7 @@
             **more,
         }
         running = ManagedProcess(
-            name, self._daemon("entry", name, settings, baseline), http, stream
+            name, self._start_daemon("entry", name, settings, baseline), http, stream
         )
         self.entries.append(running)
         if wait:
@@ -200,14 +230,19 @@
         return running
 
     def wait_ready(self, entry: ManagedProcess) -> None:
-        """Wait until an entry serves."""
+        """Wait until an entry reports that it is ready."""
         url = f"http://127.0.0.1:{entry.http_port}/v1/ready"
         wait_for(lambda: httpx.get(url).is_success, f"{entry.name} to be ready")
 
     def start_agent(
         self, zone: str = "a", proxied: bool = False, port: int = 0, **more: Any
     ) -> ManagedProcess:
-        """Start one agent; ``proxied`` puts a fault proxy before its stream port."""
+        """Start one agent.
+
+        :param proxied: whether entries reach its stream port through a fault proxy.
+        :param port: its stream port; 0 to pick a free one.
+        :param more: further settings, or replacements of those set here.
+        """
         name = f"agent-{len(self.agents)}"
         http, stream = pick_port(), port or pick_port()
         settings = {
@@ -226,19 +261,19 @@
                 f"{self.start_proxy(stream, delay_seconds=self.delay_seconds)}"
             )
         running = ManagedProcess(
-            name, self._daemon("agent", name, settings), http, stream
+            name, self._start_daemon("agent", name, settings), http, stream
         )
         self.agents.append(running)
         wait_for(lambda: is_listening(http), f"{name} to listen")
         return running
 
     def find_advertised_port(self, agent: ManagedProcess) -> int:
-        """Port of the proxy before an agent."""
+        """Find the port of the proxy in front of an agent."""
         text = (self.folder / f"{agent.name}.toml").read_text()
         line = next(each for each in text.splitlines() if "advertised" in each)
         return int(line.rstrip('"').rpartition(":")[2])
 
-    def _daemon(
+    def _start_daemon(
         self, role: str, name: str, settings: dict[str, Any], baseline: str = ""
     ) -> Any:
         path = self.folder / f"{name}.toml"
@@ -249,7 +284,7 @@
         return self.start_process(name, "-c", ENTRYPOINT.format(role), *flags)
 
     def restart_agent(self, agent: ManagedProcess) -> ManagedProcess:
-        """Start an agent again with its old settings and address."""
+        """Start an agent again with the same settings and address."""
         path = self.folder / f"{agent.name}.toml"
         code = ENTRYPOINT.format("agent")
         process = self.start_process(agent.name, "-c", code, f"--settings={path}")
@@ -265,7 +300,10 @@
         slots: int = 8,
         lease_seconds: float = 3.0,
     ) -> ManagedProcess:
-        """Start the endpoint beside an agent."""
+        """Start the endpoint of an agent.
+
+        :param lease_seconds: seconds for which a registration is valid.
+        """
         port = pick_port()
         name = f"endpoint-{len(self.endpoints)}"
         process = self.start_process(
@@ -283,12 +321,15 @@
         wait_for(lambda: is_listening(port), f"{name} to listen")
         return running
 
-    # Use
+    # Requests to running processes
 
     def run_operator_command(
         self, *arguments: str, entry: int = 0
     ) -> subprocess.CompletedProcess:
-        """Run an operator's command against an entry."""
+        """Run an operator command against an entry.
+
+        :param entry: position of the entry in ``entries``.
+        """
         code = ENTRYPOINT.format("operator")
         address = f"--entry=127.0.0.1:{self.entries[entry].http_port}"
         return subprocess.run(
@@ -300,24 +341,27 @@
         )
 
     def read_status(self, entry: int = 0) -> dict[str, Any]:
-        """Read an entry's status."""
+        """Read the status of an entry.
+
+        :param entry: position of the entry in ``entries``.
+        """
         url = f"http://127.0.0.1:{self.entries[entry].http_port}/v1/status"
         state: dict[str, Any] = httpx.get(url, timeout=10).json()
         return state
 
     def read_record(self, endpoint: ManagedProcess) -> dict[str, Any]:
-        """Read what an endpoint wrote down."""
+        """Read which starts an endpoint has counted."""
         url = f"http://127.0.0.1:{endpoint.http_port}/record"
         written: dict[str, Any] = httpx.get(url, timeout=10).json()
         return written
 
-    def control_endpoint(self, endpoint: ManagedProcess, **knobs: Any) -> None:
-        """Make an endpoint fail or crawl."""
+    def control_endpoint(self, endpoint: ManagedProcess, **controls: Any) -> None:
+        """Make an endpoint fail its tasks or run them slowly."""
         url = f"http://127.0.0.1:{endpoint.http_port}/control"
-        httpx.put(url, json=knobs, timeout=10).raise_for_status()
+        httpx.put(url, json=controls, timeout=10).raise_for_status()
 
     def wait_for_agents(self, count: int, service: str = "desk") -> None:
-        """Wait until every entry can use so many agents of a service."""
+        """Wait until every entry can use at least ``count`` agents of a service."""
         for number in range(len(self.entries)):
             wait_for(
                 lambda: self._count_usable(number, service) >= count,  # noqa: B023
@@ -332,8 +376,11 @@
         )
 
     def stop(self) -> None:
-        """End every process, by pid, gently first."""
-        alive = [process for process in self._all if process.poll() is None]
+        """Terminate every process by its PID.
+
+        Processes that are still alive 5 seconds after SIGTERM are killed.
+        """
+        alive = [process for process in self._processes if process.poll() is None]
         for process in alive:
             process.send_signal(signal.SIGCONT)
             process.terminate()
@@ -349,11 +396,11 @@
 
 
 def is_listening(port: int) -> bool:
-    """Tell whether something accepts connections on a port."""
+    """Check whether a process accepts connections on a port."""
     with socket.socket() as probe:
         return probe.connect_ex(("127.0.0.1", port)) == 0
 
 
 def render_toml(settings: dict[str, Any]) -> str:
-    """Render flat settings as TOML."""
+    """Render settings without nested tables as TOML."""
     return "".join(f"{key} = {json.dumps(value)}\n" for key, value in settings.items())
--- a/standins/leased_endpoint.py
+++ b/standins/leased_endpoint.py
@@ -1,7 +1,8 @@
-"""An endpoint that runs leased tasks, driven by the time it is told.
+"""An endpoint that runs leased tasks; the caller passes in the time.
 
-It guards nothing: it starts whatever it is told, over its capacity and twice,
-and writes down what it should not have been told.
+It doesn't prevent overload or duplicate runs: it starts runs beyond its capacity, and
+a later run of a task while an earlier one is active. It records starts and ends, so
+that tests can detect orders that should not have been given.
 """
 
 from typing import NamedTuple
@@ -24,18 +25,19 @@
 from godwitbank._internal.models.resources import Resources
 
 STOP_GRACE_SECONDS = 0.05
+"""Seconds from an order to stop a run until the run ends."""
 
 WARM_UP_FACTOR = 3.0
-"""How many times as long a run takes on an endpoint that is cold."""
+"""Factor on the run times of runs that start while the endpoint is warming up."""
 
 
 class Behaviour(NamedTuple):
-    """How tasks run here.
+    """How the endpoint runs tasks.
 
-    :param speed: factor on run times.
-    :param fails: every task fails at once.
-    :param hangs: no task moves.
-    :param unhealthy: starts are turned away.
+    :param speed: factor on run times; 2.0 makes runs take twice as long.
+    :param fails: whether tasks fail; those started meanwhile fail after 0.02 s.
+    :param hangs: whether tasks make no progress and never complete.
+    :param unhealthy: whether starts are refused.
     """
 
     speed: float = 1.0
@@ -45,7 +47,7 @@
 
 
 class ActiveRun:
-    """A run at work."""
+    """A run in progress."""
 
     def __init__(self, task: str, run: int, began: float, seconds: float) -> None:
         self.task = task
@@ -56,10 +58,11 @@
 
 
 class EndedRun(NamedTuple):
-    """A run that has ended, and when it really did.
+    """A run that has ended.
 
-    The endpoint may notice an end later than it came; times are those of the
-    caller's clock.
+    :param began: start, in seconds on the caller's clock.
+    :param ended: actual end, in seconds on the caller's clock; the endpoint may
+        detect the end later.
     """
 
     task: str
@@ -70,7 +73,15 @@
 
 
 class FakeEndpoint:
-    """One boot of an endpoint."""
+    """An endpoint from one boot to the next.
+
+    Its own clock runs at ``clock_rate`` times the speed of the caller's clock.
+
+    :param instance: id of this boot.
+    :param clock_base_ms: reading of its own clock when the caller's clock is at 0.
+    :param max_lease_seconds: longest lease that the endpoint accepts; it shortens
+        longer ones.
+    """
 
     def __init__(
         self,
@@ -96,15 +107,18 @@
         self.started: list[tuple[float, str, int]] = []
         self.ended_runs: list[EndedRun] = []
         self._clock_base_ms = clock_base_ms
-        self._number = 0
+        self._last_end_number = 0
         self._sequence = 0
 
     def clock(self, now: float) -> int:
-        """Read the endpoint's own clock, in milliseconds."""
+        """Read the endpoint's own clock, in milliseconds.
+
+        :param now: time on the caller's clock, in seconds.
+        """
         return self._clock_base_ms + int(now * 1000 * self.clock_rate)
 
     def make_report(self, now: float) -> EndpointReport:
-        """Make the next report."""
+        """Make the next report, with the next sequence number."""
         self._sequence += 1
         return EndpointReport(
             self.instance,
@@ -119,36 +133,39 @@
         )
 
     def advance(self, now: float) -> None:
-        """End what is due."""
+        """End the runs that were stopped, lost their lease or have completed by now."""
         lapsed = self.clock(now) >= self.lease_until
         for run in list(self.active_runs.values()):
             done_at = run.began + run.seconds
             if run.stop_at is not None and now >= run.stop_at:
                 self._end(run, RunEnd.STOPPED, run.stop_at)
             elif lapsed:
-                self._end(run, RunEnd.LOST, self._read_lapse())
+                self._end(run, RunEnd.LOST, self._compute_lapse_time())
             elif now >= done_at and not self.behaviour.hangs:
                 failed = self.behaviour.fails
                 self._end(run, RunEnd.FAILED if failed else RunEnd.DONE, done_at)
 
-    def _read_lapse(self) -> float:
+    def _compute_lapse_time(self) -> float:
         return (self.lease_until - self._clock_base_ms) / 1000 / self.clock_rate
 
     def _end(self, run: ActiveRun, end: RunEnd, at: float) -> None:
         del self.active_runs[run.task]
         self.ended_runs.append(EndedRun(run.task, run.run, run.began, at, end))
-        self._number += 1
+        self._last_end_number += 1
         self.unacknowledged_ends.append(
-            ListedEnd(self._number, run.task, run.run, end, "")
+            ListedEnd(self._last_end_number, run.task, run.run, end, "")
         )
 
     def _extend(self, until: int | None, now: float) -> None:
         if until is not None:
-            longest = self.clock(now) + int(self._max_lease_seconds * 1000)
-            self.lease_until = max(self.lease_until, min(until, longest))
+            latest = self.clock(now) + int(self._max_lease_seconds * 1000)
+            self.lease_until = max(self.lease_until, min(until, latest))
 
     def start(self, order: OrderStart, now: float, seconds: float) -> StartAnswered:
-        """Take an order to start."""
+        """Handle an order to start a run.
+
+        :param seconds: run time at normal speed, in seconds.
+        """
         self.advance(now)
 
         def answer(verdict: StartVerdict) -> StartAnswered:
@@ -164,22 +181,22 @@
         self.token = order.token
         if self.clock(now) >= order.lease_until:
             return answer(StartVerdict.LAPSED)
-        present = self.active_runs.get(order.task)
-        if present is not None and present.run == order.run:
+        current = self.active_runs.get(order.task)
+        if current is not None and current.run == order.run:
             return answer(StartVerdict.STARTED)
         if order.run <= self.highest_runs.get(order.task, 0):
             return answer(StartVerdict.SUPERSEDED)
         self._extend(order.lease_until, now)
         self.highest_runs[order.task] = order.run
-        slow = WARM_UP_FACTOR if now < self.warming_up_until else 1.0
-        seconds *= self.behaviour.speed * slow
+        warm_up_factor = WARM_UP_FACTOR if now < self.warming_up_until else 1.0
+        seconds *= self.behaviour.speed * warm_up_factor
         seconds = 0.02 if self.behaviour.fails else seconds
         self.active_runs[order.task] = ActiveRun(order.task, order.run, now, seconds)
         self.started.append((now, order.task, order.run))
         return answer(StartVerdict.STARTED)
 
     def stop(self, order: OrderStop, now: float) -> None:
-        """Take an order to stop."""
+        """Handle an order to stop a run."""
         self.advance(now)
         if order.instance != self.instance or order.token < self.token:
             return
@@ -194,7 +211,7 @@
     def renew_lease(
         self, order: RenewLease, now: float
     ) -> RenewalAnswered | RenewalFailed:
-        """Take a lease renewal and answer with the lists."""
+        """Handle a lease renewal; answer with the active and the ended runs."""
         self.advance(now)
         clock = self.clock(now)
         if order.instance != self.instance:
@@ -209,10 +226,10 @@
         return self.list_runs(order, now)
 
     def list_runs(self, order: RenewLease, now: float) -> RenewalAnswered:
-        """List what runs and what ended since the last that was seen."""
+        """List the active runs, and the ends with a number above ``order.seen``."""
         self.advance(now)
         running = tuple(
-            ListedRun(run.task, run.run, "", self._measure(run, now))
+            ListedRun(run.task, run.run, "", self._compute_progress(run, now))
             for run in self.active_runs.values()
         )
         ended = tuple(
@@ -222,7 +239,7 @@
             order.renewal, running, ended, self.clock(now), self.instance
         )
 
-    def _measure(self, run: ActiveRun, now: float) -> int:
+    def _compute_progress(self, run: ActiveRun, now: float) -> int:
         if self.behaviour.hangs:
             return 0
         return min(99, int(100 * (now - run.began) / run.seconds))
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,9 +1,8 @@
 """A stand-in for the platform's table and object store.
 
-Rows have versions; a transaction commits if every row is at the version given.
-``PUT /control`` makes it slow, takes it down, makes it lose the answers of
-writes that took effect, or serve reads
-of the state some commits ago.
+Rows have versions; a transaction commits if every row is at the given version.
+``PUT /control`` makes the store slow or unavailable, makes it lose the responses of
+writes that took effect, or makes reads return the state of some commits ago.
 """
 
 import asyncio
@@ -19,7 +18,7 @@
 
 
 class Store:
-    """Rows, objects and the knobs of failure."""
+    """Rows, objects and fault controls."""
 
     def __init__(self) -> None:
         self.rows: dict[str, dict[str, Any]] = {}
@@ -36,12 +35,15 @@
         }
 
     def read(self, key: str) -> dict[str, Any]:
-        """Read a row, perhaps of an older state."""
+        """Read a row, from an older state if ``age_reads`` is set."""
         rows = self.rows if self.stale_rows is None else self.stale_rows
         return rows.get(key, {"key": key, "version": 0, "value": None})
 
     def commit(self, puts: list[dict[str, Any]]) -> list[dict[str, Any]]:
-        """Commit all or none; returns the rows in conflict."""
+        """Apply all writes of a transaction, or none if a version doesn't match.
+
+        :return: current rows whose version differs from the given one.
+        """
         empty = {"version": 0, "value": None}
         conflicts = [
             {**empty, **self.rows.get(each["key"], {}), "key": each["key"]}
@@ -58,9 +60,9 @@
 
 
 def make_app(store: Store) -> Litestar:
-    """Make the HTTP application."""
+    """Make the HTTP application of the store."""
 
-    def lose() -> bool:
+    def loses_answer() -> bool:
         if store.control["lose_answers"] > 0:
             store.control["lose_answers"] -= 1
             return True
@@ -85,7 +87,7 @@
         if failed:
             return failed
         conflicts = store.commit(data["puts"])
-        if lose():
+        if loses_answer():
             return Response({"detail": "answer lost"}, status_code=504)
         return Response({"committed": not conflicts, "conflicts": conflicts})
 
@@ -121,7 +123,7 @@
 
 
 def main() -> None:
-    """Serve on the port given."""
+    """Serve on the port given on the command line."""
     app = make_app(Store())
     uvicorn.run(app, host="127.0.0.1", port=int(sys.argv[1]), log_level="warning")
 
--- a/standins/platform_endpoint.py
+++ b/standins/platform_endpoint.py
@@ -1,10 +1,11 @@
 """A stand-in for the platform's endpoint daemon, over HTTP.
 
 Usage: ``python -m standins.platform_endpoint SERVICE ADDRESS AGENT CORES ZONE``.
-A task's run time in seconds is its job's payload. ``PUT /control`` sets ``Behaviour``,
-``draining``, how many answers to starts are lost, and how many seconds later those
-are carried out (0: never). Each start and each end is a JSON line on standard
-output, with times of the machine's monotonic clock.
+A task's run time in seconds is the payload of its job. ``PUT /control`` sets the fields
+of ``Behaviour``, ``draining``, ``cold_seconds`` (how long the endpoint is warming up),
+``lose_starts`` (how many orders to start get no answer) and ``carry_out_after`` (after
+how many seconds those orders are carried out; 0: never). Each start and each end is
+written as a JSON line to standard output, with times of the machine's monotonic clock.
 """
 
 import asyncio
@@ -40,7 +41,11 @@
 
 
 class Daemon:
-    """One boot of the endpoint and the knobs of failure."""
+    """The endpoint from one boot to the next, with its fault controls.
+
+    :param address: ``host:port`` on which the endpoint listens.
+    :param agent: ``host:port`` to which the endpoint reports.
+    """
 
     def __init__(
         self, service: str, address: str, agent: str, cores: int, zone: str
@@ -61,11 +66,14 @@
 
     @property
     def now(self) -> float:
-        """Seconds since this boot."""
+        """Seconds since boot."""
         return time.monotonic() - self.started_at
 
     def start(self, order: OrderStart, late: bool) -> StartAnswered:
-        """Carry out an order to start, and tell of it."""
+        """Carry out an order to start, and write an event if a run started.
+
+        :param late: whether the order is carried out some seconds after it was given.
+        """
         before = len(self.endpoint.started)
         answer = self.endpoint.start(order, self.now, float(order.payload))
         if len(self.endpoint.started) > before:
@@ -81,42 +89,42 @@
         return answer
 
     async def lose_start_answer(self, order: OrderStart) -> None:
-        """Leave an order unanswered; perhaps carry it out later."""
+        """Leave an order unanswered; carry it out after ``carry_out_after`` seconds."""
         if self.carry_out_after:
             await asyncio.sleep(self.carry_out_after)
             self.start(order, late=True)
         await asyncio.sleep(3600)
 
     def write_event(self, **fields: Any) -> None:
-        """Write a line of what happened here."""
+        """Write an event to standard output as a JSON line."""
         line = {"instance": self.endpoint.instance, "at": time.monotonic(), **fields}
-        # In one write: others add lines to the same file.
+        # A single write, as other processes append lines to the same file.
         sys.stdout.write(json.dumps(line) + "\n")
         sys.stdout.flush()
 
     async def write_ends_forever(self) -> None:
-        """Write a line for each run that has ended."""
+        """Write an event for each run that ends, until cancelled."""
         while True:
             self.endpoint.advance(self.now)
             self.write_ends()
             await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
     def write_ends(self) -> None:
-        """Write a line for each run whose end was noticed since the last time."""
-        for life in self.endpoint.ended_runs[self._written_ends :]:
+        """Write an event for each end that was detected since the last call."""
+        for ended_run in self.endpoint.ended_runs[self._written_ends :]:
             self.write_event(
                 event="ended",
-                task=life.task,
-                run=life.run,
-                ended=self.started_at + life.ended,
-                end=str(life.end),
+                task=ended_run.task,
+                run=ended_run.run,
+                ended=self.started_at + ended_run.ended,
+                end=str(ended_run.end),
             )
         self._written_ends = len(self.endpoint.ended_runs)
 
     def make_report_body(self) -> dict[str, Any]:
-        """Make the body of a report."""
+        """Make the body of the next report."""
         report = self.endpoint.make_report(self.now)
-        room = report.capacity
+        capacity = report.capacity
         return {
             "service": report.service,
             "address": self.address,
@@ -125,37 +133,43 @@
             "slots": 8,
             "state": "draining" if report.draining else "ready",
             "cold-left-ms": int(report.cold_left * 1000),
-            "capacity": {"cpu": room.cpu, "mem-mb": room.memory, "gpu": room.gpu},
+            "capacity": {
+                "cpu": capacity.cpu,
+                "mem-mb": capacity.memory,
+                "gpu": capacity.gpu,
+            },
             "labels": list(report.labels),
             "clock-ms": report.clock,
             "seq": report.sequence,
         }
 
     async def report_forever(self) -> None:
-        """Report to the agent on the same VM."""
+        """Report to the agent on the same VM, until cancelled."""
         async with httpx.AsyncClient(trust_env=False) as client:
             url = f"http://{self.agent}/-/instances/{self.endpoint.instance}"
             while True:
                 with contextlib.suppress(httpx.HTTPError):
                     body = self.make_report_body()
                     answer = await client.put(url, json=body, timeout=1.0)
-                    heard = answer.is_success and body["state"] == "draining"
-                    if heard and not self.drain_heard_at:
+                    drain_acknowledged = (
+                        answer.is_success and body["state"] == "draining"
+                    )
+                    if drain_acknowledged and not self.drain_heard_at:
                         self.drain_heard_at = time.monotonic()
                 await asyncio.sleep(REPORT_INTERVAL_SECONDS)
 
 
 def make_app(daemon: Daemon) -> Litestar:
-    """Make the endpoint's application."""
+    """Make the HTTP application of the endpoint."""
     fake = daemon.endpoint
 
-    def is_other(request: Request) -> bool:
+    def is_for_other_instance(request: Request) -> bool:
         expected = request.headers.get("expect-instance", "")
         return expected not in ("", fake.instance)
 
     @post("/-/run-start", status_code=200)
     async def start(request: Request) -> Response[Any]:
-        if is_other(request):
+        if is_for_other_instance(request):
             return Response({}, status_code=421)
         body = await request.json()
         order = OrderStart(
@@ -182,7 +196,7 @@
 
     @post("/-/run-stop", status_code=200)
     async def stop(request: Request) -> Response[Any]:
-        if is_other(request):
+        if is_for_other_instance(request):
             return Response({}, status_code=421)
         body = await request.json()
         token = body["fence-token"]
@@ -193,7 +207,7 @@
 
     @post("/-/hold", status_code=200)
     async def hold(request: Request) -> Response[Any]:
-        if is_other(request):
+        if is_for_other_instance(request):
             return Response({}, status_code=421)
         body = await request.json()
         wait = body.get("wait-ms", 0)
@@ -213,7 +227,8 @@
             if answer.ended or daemon.now >= until:
                 break
             await asyncio.sleep(POLL_INTERVAL_SECONDS)
-        # Killed after the answer, the endpoint would leave no trace of what it told.
+        # Written before the response: if the endpoint is killed after it has responded,
+        # the log still holds every end that it has reported.
         daemon.write_ends()
         if isinstance(answer, RenewalFailed):
             clock = answer.clock
@@ -267,13 +282,13 @@
         make_app(daemon), host=host, port=int(port), log_level="warning"
     )
     daemon.write_event(event="booted")
-    chores = [
+    background_tasks = [
         asyncio.create_task(daemon.report_forever()),
         asyncio.create_task(daemon.write_ends_forever()),
     ]
     await uvicorn.Server(config).serve()
-    for chore in chores:
-        chore.cancel()
+    for background_task in background_tasks:
+        background_task.cancel()
 
 
 if __name__ == "__main__":
--- a/standins/platform_fleet.py
+++ b/standins/platform_fleet.py
@@ -1,7 +1,7 @@
-"""Starts the programs as the platform does, beside stand-ins, on loopback.
+"""Start the programs on loopback as the platform starts them, along with stand-ins.
 
-Each process has a loopback address of its own, as each VM has on the platform;
-ports are the same on all. Ends every process it started, by its pid.
+Each process has its own loopback address, as each VM has an address on the platform;
+all use the same ports. Every process that was started is terminated by its PID.
 """
 
 import json
@@ -23,7 +23,7 @@
 ZONE = "zone-1"
 
 CONTROL_TIMEOUT_SECONDS = 2.0
-"""Longest wait for an endpoint to obey; a paused one never does."""
+"""Timeout of a control request to an endpoint; a suspended one never answers."""
 
 ROUTE = {
     "name": "checks",
@@ -40,7 +40,10 @@
 
 
 class PlatformFleet:
-    """A store, endpoints with agents, and entries."""
+    """A store, endpoints with their agents, and entries.
+
+    :param folder: folder for settings files and logs.
+    """
 
     def __init__(self, folder: Path) -> None:
         folder.mkdir(parents=True, exist_ok=True)
@@ -53,11 +56,11 @@
         self.store = f"127.9.{os.getpid() % 250}.1:{pick_port()}"
         self._addresses: dict[str, str] = {}
         self.zones: dict[str, str] = {}
-        """Availability zones of processes; ``ZONE`` where none is given."""
+        """Availability zones by process name; ``ZONE`` applies to all others."""
         self._spawn("store", ["-m", "standins.platform_store", self.store])
         wait_for(lambda: self.write_routes(1, [ROUTE]), "store")
 
-    def _spawn(self, name: str, words: list[str], settings: str = "") -> None:
+    def _spawn(self, name: str, arguments: list[str], settings: str = "") -> None:
         environment = {**os.environ, "PYTHONPATH": f"{ROOT}:{ROOT / 'src'}"}
         if settings:
             path = self.folder / f"{name}.conf"
@@ -65,33 +68,37 @@
             environment["GODWITBANK_SETTINGS"] = str(path)
         log = (self.folder / f"{name}.log").open("ab")
         self.processes[name] = subprocess.Popen(
-            [sys.executable, *words], cwd=ROOT, env=environment, stdout=log, stderr=log
+            [sys.executable, *arguments],
+            cwd=ROOT,
+            env=environment,
+            stdout=log,
+            stderr=log,
         )
         log.close()
 
     def find_ip(self, name: str) -> str:
-        """Find the loopback address of a process, choosing one at first."""
+        """Find the loopback address of a process; the first call assigns one."""
         if name not in self._addresses:
             number = len(self._addresses) + 2
             self._addresses[name] = f"127.9.{os.getpid() % 250}.{number}"
         return self._addresses[name]
 
     def find_advertised_ip(self, name: str) -> str:
-        """Find the address that other processes know a process by."""
+        """Find the IP address at which other processes reach a process."""
         return self.find_ip(name)
 
     def find_zone(self, name: str) -> str:
-        """Find the availability zone of a process's VM."""
+        """Find the availability zone of the VM of a process."""
         return self.zones.get(name, ZONE)
 
     def find_store_address(self, name: str) -> str:
-        """Find where a process reaches the store."""
+        """Find the address at which a process reaches the store."""
         del name
         return self.store
 
     def _write_settings(self, name: str, kind: str) -> str:
         ip = self.find_ip(name)
-        seen = self.find_advertised_ip(name)
+        advertised_ip = self.find_advertised_ip(name)
         seeds = [
             f"{self.find_advertised_ip(other)}:{self.control}"
             for other in self._addresses
@@ -100,7 +107,7 @@
         lines = [
             f"node={name}",
             f"class={kind}",
-            f"ip={seen}",
+            f"ip={advertised_ip}",
             f"zone={self.find_zone(name)}",
             f"port-range={self.inner},{self.inner + 10}",
             f"seeds={','.join(seeds[:3])}",
@@ -112,31 +119,38 @@
             lines += [f"listen.front={ip}:{self.front}"]
             lines += [f"listen.ready={ip}:{self.ready}"]
         else:
-            lines += [f"app={seen}:{self.app}", f"service={SERVICE}"]
+            lines += [f"app={advertised_ip}:{self.app}", f"service={SERVICE}"]
         return "\n".join(lines) + "\n"
 
     def start_entry(self, name: str) -> None:
-        """Start an entry."""
+        """Start an entry, with a new settings file."""
         settings = self._write_settings(name, "front")
         stream = f"{self.find_ip(name)}:{self.inner}"
-        words = ["deploy/launch.py", "entry", f"--stream_bind={stream}"]
-        self._spawn(name, words, settings)
+        arguments = ["deploy/launch.py", "entry", f"--stream_bind={stream}"]
+        self._spawn(name, arguments, settings)
 
     def start_agent(self, name: str) -> None:
-        """Start an agent."""
+        """Start an agent, with a new settings file."""
         settings = self._write_settings(name, "side")
         self._spawn(name, ["deploy/launch.py", "agent"], settings)
 
     def start_endpoint(self, name: str) -> None:
-        """Start the endpoint beside an agent."""
+        """Start the endpoint of an agent.
+
+        :param name: name of the agent.
+        """
         ip = self.find_ip(name)
-        words = ["-m", "standins.platform_endpoint", SERVICE]
+        arguments = ["-m", "standins.platform_endpoint", SERVICE]
         agent = f"{self.find_advertised_ip(name)}:{self.control}"
-        words += [f"{ip}:{self.app}", agent, str(CORES), self.find_zone(name)]
-        self._spawn(f"{name}-endpoint", words)
+        arguments += [f"{ip}:{self.app}", agent, str(CORES), self.find_zone(name)]
+        self._spawn(f"{name}-endpoint", arguments)
 
     def start(self, entries: int, agents: int) -> None:
-        """Start a deployment and wait until it serves."""
+        """Start a deployment and wait until it is ready.
+
+        :param entries: number of entries.
+        :param agents: number of agents, each with an endpoint.
+        """
         for number in range(entries):
             self.find_ip(f"entry-{number}")
         for number in range(entries):
@@ -148,7 +162,10 @@
             self.wait_ready(f"entry-{number}", agents)
 
     def wait_ready(self, entry: str, agents: int) -> None:
-        """Wait until an entry is ready and knows so many open agents."""
+        """Wait until an entry is ready and sees enough agents that accept runs.
+
+        :param agents: number of such agents that it must see.
+        """
 
         def is_ready() -> bool:
             ip = self.find_ip(entry)
@@ -160,27 +177,34 @@
         wait_for(is_ready, f"{entry} ready with {agents} agents")
 
     def lacks_sighup_handler(self, name: str) -> bool:
-        """Tell whether a signal to reload would still end a process.
+        """Check whether SIGHUP would still terminate a process.
 
-        So it is until the interpreter has read the program's first lines.
+        That is so until the interpreter has run the first lines of the program, which
+        ignore or catch the signal.
         """
         pid = self.processes[name].pid
         status = Path(f"/proc/{pid}/status").read_text()
         masks = dict(line.split(":", 1) for line in status.splitlines())
-        heard = int(masks["SigIgn"], 16) | int(masks["SigCgt"], 16)
-        return not heard >> (signal.SIGHUP - 1) & 1
+        handled = int(masks["SigIgn"], 16) | int(masks["SigCgt"], 16)
+        return not handled >> (signal.SIGHUP - 1) & 1
 
     def kill(self, name: str, how: int = signal.SIGKILL) -> None:
-        """Send a process a signal; wait for its end if that ends it."""
+        """Send a signal to a process; wait for its exit if the signal is SIGKILL.
+
+        :param how: number of the signal.
+        """
         process = self.processes[name]
         process.send_signal(how)
         if how == signal.SIGKILL:
             process.wait()
 
-    # What callers and operators do
+    # Requests of callers and operators
 
     def write_routes(self, version: int, routes: list[dict[str, Any]]) -> bool:
-        """Write a configuration as the operators do."""
+        """Write a configuration with some routes, as operators do.
+
+        :return: whether the store accepted it.
+        """
         body = {
             "version": version,
             "routes": routes,
@@ -191,40 +215,48 @@
         return self.client.put(url, content=json.dumps(body)).status_code == 200
 
     def evacuate(self, zone: str) -> None:
-        """Ask that a zone be emptied, as the operators do."""
+        """Request the evacuation of a zone, as operators do."""
         url = f"http://{self.store}/operator?key=evacuate/{zone}"
         self.client.put(url, content="{}")
 
     def end_evacuation(self, zone: str) -> None:
-        """End a zone's evacuation."""
+        """End the evacuation of a zone."""
         url = f"http://{self.store}/operator?key=evacuate/{zone}"
         self.client.delete(url)
 
-    def control_store(self, **knobs: Any) -> None:
-        """Turn the store's knobs."""
-        self.client.put(f"http://{self.store}/control", content=json.dumps(knobs))
+    def control_store(self, **controls: Any) -> None:
+        """Set fault controls of the store."""
+        self.client.put(f"http://{self.store}/control", content=json.dumps(controls))
 
-    def control_endpoint(self, name: str, **knobs: Any) -> None:
-        """Turn an endpoint's knobs."""
+    def control_endpoint(self, name: str, **controls: Any) -> None:
+        """Set fault controls of an endpoint.
+
+        :param name: name of its agent.
+        """
         url = f"http://{self.find_ip(name)}:{self.app}/control"
-        self.client.put(url, content=json.dumps(knobs), timeout=CONTROL_TIMEOUT_SECONDS)
+        self.client.put(
+            url, content=json.dumps(controls), timeout=CONTROL_TIMEOUT_SECONDS
+        )
 
     def read_status(self, name: str) -> dict[str, Any]:
-        """Read a process's own status page."""
+        """Read the status page of a process."""
         url = f"http://{self.find_ip(name)}:{METRICS_PORT}/status"
         status: dict[str, Any] = self.client.get(url).json()
         return status
 
     def read_endpoint(self, name: str) -> dict[str, Any]:
-        """Tell what an endpoint has started and runs."""
+        """Read which runs an endpoint has started and which are active.
+
+        :param name: name of its agent.
+        """
         url = f"http://{self.find_ip(name)}:{self.app}/control"
-        seen: dict[str, Any] = self.client.get(url).json()
-        return seen
+        state: dict[str, Any] = self.client.get(url).json()
+        return state
 
     def call(
         self, method: str, entry: str, path: str, content: str = ""
     ) -> httpx.Response:
-        """Call an entry as a caller does."""
+        """Send a request to an entry as a caller does."""
         url = f"http://{self.find_ip(entry)}:{self.front}{path}"
         headers = {"Host": "desk.example", "Deadline-Ms": "10000"}
         return self.client.request(method, url, content=content, headers=headers)
@@ -232,16 +264,23 @@
     def submit(
         self, entry: str, job: str, width: int = 2, seconds: float = 0.05
     ) -> httpx.Response:
-        """Submit a job whose tasks run for some seconds, and wait."""
+        """Submit a job and wait for the response.
+
+        :param width: number of tasks.
+        :param seconds: run time of each task.
+        """
         return self.call("POST", entry, f"/checks/{job}", make_body(width, seconds))
 
     def read_log(self, name: str) -> list[dict[str, Any]]:
-        """Read the decisions a process has logged."""
+        """Read the structured log events of a process."""
         text = (self.folder / f"{name}.log").read_text()
         return [json.loads(line) for line in text.splitlines() if line[:1] == "{"]
 
     def list_log_events(self, name: str, event: str, job: str) -> list[dict[str, Any]]:
-        """List the lines of one kind that a process has written about a job."""
+        """List the log events of one kind that a process has written about a job.
+
+        :param job: id of the job, or a prefix of it.
+        """
         return [
             line
             for line in self.read_log(name)
@@ -249,7 +288,7 @@
         ]
 
     def stop(self) -> None:
-        """End every process that was started."""
+        """Kill every process that was started."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.kill()
@@ -258,7 +297,11 @@
 
 
 def make_body(width: int, seconds: float) -> str:
-    """Make the body of a job."""
+    """Make the body of a job with one step.
+
+    :param width: number of tasks.
+    :param seconds: run time of each task.
+    """
     step = {
         "count": width,
         "cpu": 1000,
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -1,9 +1,10 @@
-"""A stand-in for the platform's metadata store: rows, transactions, a feed.
+"""A stand-in for the platform's metadata store: rows, transactions, a change feed.
 
-Usage: ``python -m standins.platform_store ADDRESS``. ``PUT /control`` takes it
-down (for callers from some addresses, or all), makes it silent, or makes it lose
-the answers of writes that took effect. ``PUT /operator`` writes what only the
-operators may write, and ``DELETE /operator`` removes it.
+Usage: ``python -m standins.platform_store ADDRESS``. ``PUT /control`` sets fields of
+``Store``: it makes the store unavailable to callers from some addresses or to all
+(with an error, or without any response), makes it lose the responses of writes that
+took effect, or truncates the history of changes. ``PUT /operator`` writes a row of a
+table that only operators may write, and ``DELETE /operator`` removes one.
 """
 
 import asyncio
@@ -16,13 +17,13 @@
 from litestar import Litestar, Request, Response, delete, get, post, put
 
 MAX_PAGE_ROWS = 500
-"""Rows of one answer at the most."""
+"""Maximum number of rows in one response."""
 
 OPERATORS_TABLES = {"op", "servers"}
 
 
 class RowKey(NamedTuple):
-    """Where a row stands."""
+    """The table, partition and key of a row."""
 
     table: str
     part: str
@@ -30,30 +31,40 @@
 
 
 class Row(NamedTuple):
-    """A row's value, or ``None`` once it was removed, and its revision."""
+    """The value of a row and the revision of its last change.
+
+    :param value: ``None`` if the row was removed.
+    """
 
     value: str | None
     ver: int
 
 
 class Store:
-    """Rows, their revisions, and the knobs of failure."""
+    """Rows, their revisions, and the fault controls."""
 
     def __init__(self) -> None:
         self.rows: dict[RowKey, Row] = {}
         self.revision = 0
         self.changed = asyncio.Event()
         self.oldest = 0
+        """Oldest revision from which the change feed can continue."""
         self.turned_away: list[str] = []
+        """IP addresses whose requests are refused; ``all`` stands for every address."""
         self.silent = False
+        """Whether refused requests get no response instead of an error."""
         self.lose_answers = 0
+        """Number of coming transactions that take effect but get no response."""
 
     def commit(self, body: dict[str, Any]) -> bool:
-        """Apply all entries of a transaction, or none."""
-        for wanted in body.get("expect-rev", []):
-            row = self.rows.get(_make_key(wanted))
+        """Apply all changes of a transaction, or none if a revision doesn't match.
+
+        :return: whether the changes were applied.
+        """
+        for expected in body.get("expect-rev", []):
+            row = self.rows.get(_make_key(expected))
             current = row.ver if row and row.value is not None else 0
-            if current != wanted["ver"]:
+            if current != expected["ver"]:
                 return False
         self.revision += 1
         for each in body.get("puts", []):
@@ -65,7 +76,7 @@
         return True
 
     def make_answer(self, rows: list[dict[str, Any]]) -> dict[str, Any]:
-        """Make the body of an answer about rows."""
+        """Make the body of a response that holds rows."""
         return {
             "rows": rows,
             "has-more": False,
@@ -74,7 +85,10 @@
         }
 
     def list_rows(self, table: str, after: int | None) -> list[dict[str, Any]]:
-        """List a table's rows, or what has changed in it after a revision."""
+        """List the rows of a table, or those that changed after a revision.
+
+        :param after: the revision; ``None`` lists all rows, without removed ones.
+        """
         rows = []
         for key, row in self.rows.items():
             if key.table != table or (after is not None and row.ver <= after):
@@ -95,9 +109,9 @@
 
 
 def make_app(store: Store) -> Litestar:
-    """Make the store's application."""
+    """Make the HTTP application of the store."""
 
-    async def refuse(request: Request) -> Response[Any] | None:
+    async def refuse_if_unavailable(request: Request) -> Response[Any] | None:
         caller = request.client.host if request.client else ""
         if caller in store.turned_away or "all" in store.turned_away:
             if store.silent:
@@ -107,22 +121,22 @@
 
     @post("/-/rows-tx", status_code=200)
     async def transact(request: Request) -> Response[Any]:
-        refused = await refuse(request)
+        refused = await refuse_if_unavailable(request)
         if refused is not None:
             return refused
         body = msgspec.json.decode(await request.body())
         touched = [*body.get("puts", []), *body.get("remove", [])]
         if any(each["table"] in OPERATORS_TABLES for each in touched):
             return Response({"error": "not yours"}, status_code=403)
-        done = store.commit(body)
+        committed = store.commit(body)
         if store.lose_answers > 0:
             store.lose_answers -= 1
             await asyncio.sleep(3600)
-        return Response(store.make_answer([]), status_code=200 if done else 412)
+        return Response(store.make_answer([]), status_code=200 if committed else 412)
 
     @get("/-/rows-get")
     async def read(request: Request) -> Response[Any]:
-        refused = await refuse(request)
+        refused = await refuse_if_unavailable(request)
         if refused is not None:
             return refused
         table = request.query_params["table"]
@@ -134,7 +148,7 @@
 
     @get("/-/rows-feed")
     async def follow(request: Request) -> Response[Any]:
-        refused = await refuse(request)
+        refused = await refuse_if_unavailable(request)
         if refused is not None:
             return refused
         table = request.query_params["table"]
--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -1,19 +1,21 @@
-"""A fault-injecting TCP proxy, also used as the platform's balancer.
+"""A fault-injecting TCP proxy, also used as a stand-in for the platform's balancer.
 
 ``python -m standins.proxy CONTROL LISTEN=TARGET[,TARGET...] ...`` forwards each
-listening port, or ``HOST:PORT``, to its targets in turn. Commands come as JSON
-lines on the control port:
+listening port, or ``HOST:PORT``, to its targets in round-robin order. The control port
+accepts commands as JSON lines:
 ``{"listen": 9000, "delay": 0.003, "freeze": "to_target", "cut": true}``.
 
-* ``delay``: seconds added each way.
-* ``freeze``: ``none``, ``to_target``, ``to_client`` or ``both``; bytes of the
-  connections open now are lost, new connections work.
-* ``hold``: the same ways; bytes of all connections, new ones too, wait until the
-  hold ends and are delivered then, as after a partition of the network.
-* ``cut``: close the connections open now.
-* ``link``: the number of the one connection that ``freeze`` and ``cut`` mean.
+* ``delay``: seconds of delay added in each direction.
+* ``freeze``: ``none``, ``to_target``, ``to_client`` or ``both``; data in these
+  directions is discarded on the connections that are open now, and new connections
+  work.
+* ``hold``: the same directions; data of all connections, including new ones, is
+  buffered and delivered when the hold ends, as after a network partition.
+* ``cut``: close the connections that are open now.
+* ``link``: apply ``freeze`` and ``cut`` only to the connection with this number,
+  modulo the number of open connections; the oldest one has number 0.
 * ``refuse``: close new connections at once.
-* ``drop``: bytes to swallow from the next data towards the target.
+* ``drop``: number of bytes to discard from the next data towards the target.
 * ``repeat``: send the next data towards the target twice.
 * ``targets``: replace the targets.
 """
@@ -26,7 +28,11 @@
 
 
 class Pipe(asyncio.Protocol):
-    """One side of a forwarded connection."""
+    """One side of a forwarded connection.
+
+    :param towards: direction of the data received here: ``to_target`` or
+        ``to_client``.
+    """
 
     def __init__(self, connection: "ForwardedConnection", towards: str) -> None:
         self.connection = connection
@@ -34,22 +40,22 @@
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Forward, after the faults have had their turn."""
+        """Forward the data, subject to the injected faults."""
         self.connection.forward(self.towards, data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Close the other side too."""
+        """Close the other side too, unless the connection is frozen."""
         del exc
         self.connection.handle_close(self.towards)
 
 
 class ForwardedConnection:
-    """A client's connection and the one to its target."""
+    """The connection of a client and the connection to its target."""
 
     def __init__(self, route: "Route") -> None:
         self.route = route
@@ -62,7 +68,7 @@
         }
 
     def forward(self, towards: str, data: bytes) -> None:
-        """Pass bytes on."""
+        """Forward, hold or discard data, as the injected faults demand."""
         if self.frozen[towards]:
             return
         if self.route.hold in (towards, "both"):
@@ -77,21 +83,24 @@
             self.write(towards, data)
 
     def deliver_held(self) -> None:
-        """Pass on what was held."""
+        """Forward the data that was held."""
         held, self.held = self.held, []
         for towards, data in held:
             self.forward(towards, data)
 
     def write(self, towards: str, data: bytes) -> None:
-        """Write bytes to an end, or keep them until it is connected."""
-        end = self.transports[towards]
-        if end is not None:
-            end.write(data)
+        """Write data to one side; buffer it until the target is connected."""
+        transport = self.transports[towards]
+        if transport is not None:
+            transport.write(data)
         elif towards == "to_target":
             self.unsent.append(data)
 
     def handle_close(self, towards: str) -> None:
-        """One side ended: end the other, unless that would break the silence."""
+        """Close the other side after one side has closed.
+
+        A frozen connection stays open: a close would tell its peer about the fault.
+        """
         if any(self.frozen.values()):
             return
         other = self.transports[towards]
@@ -103,10 +112,10 @@
         self.route.connections.pop(self, None)
 
     def cut(self) -> None:
-        """Close both ends."""
-        for end in self.transports.values():
-            if end is not None:
-                end.abort()
+        """Abort both connections."""
+        for transport in self.transports.values():
+            if transport is not None:
+                transport.abort()
 
 
 class Route:
@@ -116,7 +125,7 @@
         self.listen = listen
         self.targets = targets
         self.next_target = itertools.count()
-        # Oldest first: a set would give another order each run.
+        # Ordered by age, oldest first; a set would have a different order in each run.
         self.connections: dict[ForwardedConnection, None] = {}
         self.delay = 0.0
         self.hold = "none"
@@ -125,7 +134,7 @@
         self.repeat = False
 
     def apply_data_faults(self, data: bytes) -> bytes:
-        """Drop or repeat bytes if told to."""
+        """Apply ``drop`` and ``repeat`` to data towards the target."""
         dropped, self.drop = min(self.drop, len(data)), max(0, self.drop - len(data))
         data = data[dropped:]
         if self.repeat and data:
@@ -134,14 +143,14 @@
         return data
 
     def accept(self) -> Pipe:
-        """Make the client's side of a new connection."""
+        """Create the client's side of a new connection."""
         connection = ForwardedConnection(self)
         return ClientPipe(connection, "to_target")
 
     async def connect(
         self, connection: ForwardedConnection, client: asyncio.Transport
     ) -> None:
-        """Connect to the next target that accepts."""
+        """Connect to the next target that accepts; abort the client if none does."""
         connection.transports["to_client"] = client
         if self.refuse:
             client.abort()
@@ -163,7 +172,7 @@
         client.abort()
 
     def apply_command(self, command: dict[str, Any]) -> None:
-        """Obey a command."""
+        """Apply a command; see the module's docstring."""
         for name in ("delay", "refuse", "drop", "repeat", "hold"):
             if name in command:
                 setattr(self, name, command[name])
@@ -174,8 +183,11 @@
             self.targets = [parse_address(each) for each in command["targets"]]
         if "freeze" in command:
             for connection in self._select(command):
-                for way in connection.frozen:
-                    connection.frozen[way] = command["freeze"] in (way, "both")
+                for direction in connection.frozen:
+                    connection.frozen[direction] = command["freeze"] in (
+                        direction,
+                        "both",
+                    )
         if command.get("cut"):
             for connection in self._select(command):
                 connection.cut()
@@ -189,10 +201,10 @@
 
 
 class ClientPipe(Pipe):
-    """The client's side; connects the other one."""
+    """The client's side of a connection; opens the connection to the target."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Connect to a target."""
+        """Store the transport and connect to a target."""
         super().connection_made(transport)
         assert self.transport is not None
         self.connecting = asyncio.ensure_future(
@@ -201,7 +213,7 @@
 
 
 def parse_address(address: str) -> tuple[str, int]:
-    """Split ``host:port`` or a bare port."""
+    """Split ``HOST:PORT``; a bare port means 127.0.0.1."""
     host, _, port = address.rpartition(":")
     return host or "127.0.0.1", int(port)
 
--- a/tests/soak/test_play.py
+++ b/tests/soak/test_play.py
@@ -1,4 +1,4 @@
-"""A short run of the soak, and the seeds that once broke a promise."""
+"""A short run of the soak test, and seeds that once violated a guarantee."""
 
 from pathlib import Path
 
@@ -8,27 +8,29 @@
 pytestmark = pytest.mark.processes
 
 FOUND = (
-    # An entry that had just been killed and started never came back. Inferred: it got
-    # SIGHUP before it had a handler, and ended by that.
+    # An entry that was restarted after a kill exited again. Probable cause (inferred):
+    # it received SIGHUP before it had installed a handler.
     118,
     119,
 )
-"""Seeds that once broke a promise, with their cause."""
+"""Seeds that once violated a guarantee, with the cause."""
 
 FOUND_SECONDS = 10.0
 SECONDS = 6.0
 
 
-def test_promises_hold_under_faults(tmp_path: Path) -> None:
-    _check(1, SECONDS, tmp_path, 2, newer=True)
+def test_guarantees_hold_under_faults(tmp_path: Path) -> None:
+    _check(1, SECONDS, tmp_path, 2, extended=True)
 
 
 @pytest.mark.parametrize("seed", FOUND)
 def test_what_was_found_stays_mended(seed: int, tmp_path: Path) -> None:
-    _check(seed, FOUND_SECONDS, tmp_path, 3, newer=False)
+    _check(seed, FOUND_SECONDS, tmp_path, 3, extended=False)
 
 
-def _check(seed: int, seconds: float, folder: Path, size: int, newer: bool) -> None:
-    outcome = run_seed(seed, seconds, folder, size, size, newer)
+def _check(
+    seed: int, seconds: float, folder: Path, process_count: int, extended: bool
+) -> None:
+    outcome = run_seed(seed, seconds, folder, process_count, process_count, extended)
     assert outcome.jobs
     assert outcome.violations == [], outcome.injected_faults
--- a/tests/soak/test_records.py
+++ b/tests/soak/test_records.py
@@ -1,4 +1,4 @@
-"""What the soak reads from endpoints' logs."""
+"""What the soak test reads from the logs of endpoints."""
 
 import io
 import json
@@ -25,12 +25,13 @@
     ("events", "ended"),
     [
         ([("killed", 12.0)], 12.0),
-        # Seed 205: paused and then killed; its runs had lapsed, and began elsewhere.
+        # The leases lapsed while the endpoint was paused, so its runs were started
+        # elsewhere before it was killed (seen with seed 205).
         ([("paused", 10.2), ("killed", 14.0)], 10.2 + MAX_LEASE_SECONDS),
         ([("paused", 10.2), ("resumed", 10.4), ("killed", 14.0)], 14.0),
     ],
 )
-def test_runs_of_a_killed_endpoint_end_with_it_or_before(
+def test_runs_of_a_killed_endpoint_end_at_the_kill_or_at_their_lapse(
     tmp_path: Path, events: list[tuple[str, float]], ended: float
 ) -> None:
     lines = [BEGAN, *({"event": event, "at": at} for event, at in events)]
@@ -39,8 +40,14 @@
     assert [run.ended for run in read_runs(tmp_path)] == [ended]
 
 
-def test_an_endpoint_writes_each_line_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against records that can't be read, as others write between the parts."""
+def test_an_endpoint_writes_each_event_in_one_write(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """Guard against unreadable events.
+
+    The soak test appends lines to the same log; an event that is written in several
+    parts could be interleaved with them.
+    """
     written: list[str] = []
 
     class Output(io.StringIO):
@@ -53,16 +60,16 @@
     assert [text[-1:] for text in written] == ["\n"]
 
 
-def test_an_endpoint_writes_an_end_down_before_it_tells_of_it(
+def test_an_endpoint_logs_an_end_before_it_reports_it(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     daemon = Daemon("desk", "127.0.0.1:1", "127.0.0.1:2", 4, "zone-1")
     order = {"task": "j1.0.0.0", "run": 1, "spec": "0.01", "fence-token": 1}
-    until = {"deadline-ms": daemon.endpoint.clock(daemon.now) + 1000, "fence-token": 1}
+    lease = {"deadline-ms": daemon.endpoint.clock(daemon.now) + 1000, "fence-token": 1}
     with TestClient(make_app(daemon)) as client:
-        client.post("/-/run-start", json={**order, **until})
-        body = {**until, "last-seen": 0, "wait-ms": 500}
-        told = client.post("/-/hold", json=body).json()
-    assert len(told["ended"]) == 1
+        client.post("/-/run-start", json={**order, **lease})
+        body = {**lease, "last-seen": 0, "wait-ms": 500}
+        answer = client.post("/-/hold", json=body).json()
+    assert len(answer["ended"]) == 1
     written = [json.loads(line) for line in capsys.readouterr().out.splitlines()]
     assert [line["event"] for line in written] == ["began", "ended"]
