--- a/soak/clients.py
+++ b/soak/clients.py
@@ -47,7 +47,7 @@
             thread.start()
 
     def set_planned_only(self, planned_only: bool) -> None:
-        """Set whether only planned work is in progress from now on.
+        """Set whether from now on only planned work, such as restarts, is in progress.
 
         :param planned_only: ``False`` while faults may be in effect.
         """
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -114,7 +114,7 @@
         if self.processes[name].poll() is None:
             self.ended_at[name] = time.monotonic()
             self.kill(name, how)
-            # The process exits a short time before its exit is detected here.
+            # The logged time is slightly later than the actual exit of the process.
             if how == signal.SIGKILL:
                 self._log_event(name, "killed")
 
