--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -18,7 +18,7 @@
 from typing import Any, NamedTuple
 
 import httpx
-from standins.fleet import Fleet, Running, pick_port, wait_for
+from standins.fleet import Fleet, ManagedProcess, pick_port, wait_for
 
 from bench.policies import POLICIES, write_document
 from godwitbank._internal.core.catalog import Catalog
@@ -81,7 +81,7 @@
     return slope
 
 
-def read_cpu(running: Running) -> float:
+def read_cpu(running: ManagedProcess) -> float:
     """Read the CPU time of a process, in seconds.
 
     Uses the scheduler's counters in nanoseconds: the usual counters have a resolution
@@ -92,7 +92,7 @@
     return sum(times) / 1e9
 
 
-def read_memory(running: Running) -> float:
+def read_memory(running: ManagedProcess) -> float:
     """Read the resident memory of a process, in bytes."""
     pages = Path(f"/proc/{running.process.pid}/statm").read_text().split()[1]
     return int(pages) * 4096
@@ -104,23 +104,23 @@
 def _start_entry(folder: str, **settings: Any) -> Fleet:
     fleet = Fleet(Path(folder))
     fleet.start_entry(**settings)
-    fleet.balance()
+    fleet.update_balancer()
     document = write_document(Path(folder), POLICIES[-1])
     text = document.read_text().replace("slots = 8", "slots = 64")
     document.write_text(text)
-    applied = fleet.operate("apply", str(document))
+    applied = fleet.run_operator_command("apply", str(document))
     assert applied.returncode == 0, applied.stderr
     return fleet
 
 
 def _start_stubs(fleet: Fleet, count: int, processes: int) -> None:
-    entry = f"127.0.0.1:{fleet.entries[0].stream}"
+    entry = f"127.0.0.1:{fleet.entries[0].stream_port}"
     for number in range(processes):
         share = count // processes + (number < count % processes)
         first = pick_port()
         # The consecutive ports aren't reserved. If one is in use, an agent is missing
         # and await_agents fails.
-        fleet._run(
+        fleet.start_process(
             f"stubs-{number}",
             "-m",
             "bench.stubs",
@@ -129,7 +129,7 @@
             entry,
             str(first + 40 + number * 500),
         )
-    fleet.await_agents(count)
+    fleet.wait_for_agents(count)
 
 
 async def _send_jobs(url: str, rate: float, size: int, seconds: float) -> int:
@@ -164,7 +164,7 @@
         fleet = _start_entry(folder)
         try:
             _start_stubs(fleet, 12, STUB_PROCESSES)
-            url = f"http://127.0.0.1:{fleet.entries[0].http}/v1/services/desk/jobs"
+            url = f"http://127.0.0.1:{fleet.entries[0].http_port}/v1/services/desk/jobs"
             for rate in STARTS_PER_SECOND if size > 1 else REQUESTS_PER_SECOND:
                 before, started = read_cpu(fleet.entries[0]), time.monotonic()
                 done = asyncio.run(_send_jobs(url, rate, size, 5.0))
@@ -182,7 +182,7 @@
         fleet = _start_entry(folder)
         try:
             _start_stubs(fleet, 12, STUB_PROCESSES)
-            url = f"http://127.0.0.1:{fleet.entries[0].http}/v1/services/desk/jobs"
+            url = f"http://127.0.0.1:{fleet.entries[0].http_port}/v1/services/desk/jobs"
             started = time.monotonic()
             done = asyncio.run(_send_jobs(url, 6000, 100, 4.0))
             rate = done / (time.monotonic() - started)
@@ -224,8 +224,10 @@
             try:
                 agent = fleet.start_agent()
                 fleet.start_endpoint(agent)
-                address = f"127.0.0.1:{agent.stream}"
-                fleet._run("stubs", "-m", "bench.stubs", "entries", str(count), address)
+                address = f"127.0.0.1:{agent.stream_port}"
+                fleet.start_process(
+                    "stubs", "-m", "bench.stubs", "entries", str(count), address
+                )
                 time.sleep(SETTLE_SECONDS)
                 before, started = read_cpu(agent), time.monotonic()
                 time.sleep(6.0)
@@ -248,8 +250,8 @@
         try:
             agent = fleet.start_agent()
             fleet.start_endpoint(agent, slots=64)
-            fleet.await_agents(1)
-            url = f"http://127.0.0.1:{fleet.entries[0].http}/v1/services/desk/jobs"
+            fleet.wait_for_agents(1)
+            url = f"http://127.0.0.1:{fleet.entries[0].http_port}/v1/services/desk/jobs"
             for rate in (20, 40, 80, 120, 160):
                 before, started = read_cpu(agent), time.monotonic()
                 done = asyncio.run(_send_jobs(url, rate, 10, 5.0))
@@ -269,11 +271,11 @@
             for entries in (1, 2, 4, 6):
                 while len(fleet.entries) < entries:
                     fleet.start_entry()
-                fleet.balance()
+                fleet.update_balancer()
                 agents = entries * 2
                 while len(fleet.agents) < agents:
                     fleet.start_endpoint(fleet.start_agent())
-                fleet.await_agents(agents)
+                fleet.wait_for_agents(agents)
                 points.append((float(entries + agents), _time_apply(fleet, folder)))
         finally:
             fleet.stop()
@@ -283,13 +285,13 @@
 
 def _time_apply(fleet: Fleet, folder: str) -> float:
     """Apply the document and measure the seconds until all processes report it."""
-    applied = fleet.operate("apply", str(Path(folder) / "bench.toml"))
+    applied = fleet.run_operator_command("apply", str(Path(folder) / "bench.toml"))
     started = time.monotonic()
     revision = int(applied.stdout.split()[-1])
 
     def is_installed_everywhere() -> bool:
         statuses = [
-            httpx.get(f"http://127.0.0.1:{each.http}/v1/{path}").json()
+            httpx.get(f"http://127.0.0.1:{each.http_port}/v1/{path}").json()
             for path, processes in (
                 ("status", fleet.entries),
                 ("endpoint", fleet.agents),
--- a/tests/platform/test_evacuation.py
+++ b/tests/platform/test_evacuation.py
@@ -67,12 +67,12 @@
 
 
 def _count_started(platform: PlatformFleet, agent: str) -> int:
-    return len(platform.see_endpoint(agent)["started"])
+    return len(platform.read_endpoint(agent)["started"])
 
 
 def _wait_for_evacuated(platform: PlatformFleet, agent: str, evacuated: bool) -> None:
     wait_for(
-        lambda: platform.see_status(agent)["evacuated"] == evacuated,
+        lambda: platform.read_status(agent)["evacuated"] == evacuated,
         f"evacuated: {evacuated} at {agent}",
     )
 
@@ -91,7 +91,7 @@
     _wait_for_evacuated(platform, "agent-1", True)
     answer = platform.submit("entry-1", f"{JOB}0010")
     assert (answer.status_code, "retry-after" in answer.headers) == (503, True)
-    platform.take_back("zone-1")
+    platform.end_evacuation("zone-1")
     _wait_for_evacuated(platform, "agent-0", False)
     wait_for(
         lambda: platform.submit("entry-0", f"{JOB}0011").status_code == 200,
@@ -109,7 +109,7 @@
     _wait_for_evacuated(platform, "agent-0", True)
     before = _count_started(platform, "agent-0")
     refused_ips = [platform.find_ip("entry-1"), platform.find_ip("agent-0")]
-    platform.set_store(turned_away=refused_ips)
+    platform.control_store(turned_away=refused_ips)
     for name in ("entry-1", "agent-0"):
         platform.kill(name)
     platform.start_entry("entry-1")
@@ -118,7 +118,7 @@
     for number in range(6):
         answer = platform.submit("entry-1", f"{JOB}000{number}", width=4)
         assert answer.json() == {"state": "completed"}
-    assert platform.see_status("entry-1")["evacuated"] == ["zone-1"]
+    assert platform.read_status("entry-1")["evacuated"] == ["zone-1"]
     assert _count_started(platform, "agent-0") == before
 
 
@@ -127,7 +127,7 @@
     platform: PlatformFleet,
 ) -> None:
     platform.start(entries=1, agents=2)
-    platform.set_store(turned_away=["all"])
+    platform.control_store(turned_away=["all"])
     platform.evacuate("zone-1")
-    platform.set_store(oldest=0, turned_away=[])
+    platform.control_store(oldest=0, turned_away=[])
     _wait_for_evacuated(platform, "agent-0", True)
--- a/tests/platform/test_operators.py
+++ b/tests/platform/test_operators.py
@@ -33,7 +33,7 @@
     try:
         _wait_for_version(fleet, 1)
         for name in fleet.entries:
-            fleet.command(name, "store", freeze="both")
+            fleet.command_proxy(name, "store", freeze="both")
         fleet.write_routes(2, [ROUTE])
         _wait_for_version(fleet, 2)
     finally:
--- a/tests/platform/test_programs.py
+++ b/tests/platform/test_programs.py
@@ -19,7 +19,7 @@
     for number, entry in enumerate(("entry-0", "entry-1")):
         answer = platform.submit(entry, f"{JOB}0{number}", width=8)
         assert (answer.status_code, answer.json()) == (200, {"state": "completed"})
-    seen = [platform.see_endpoint(f"agent-{number}") for number in range(2)]
+    seen = [platform.read_endpoint(f"agent-{number}") for number in range(2)]
     assert sum(len(each["started"]) for each in seen) == 16
     assert max(each["most_at_once"] for each in seen) <= CORES
 
@@ -43,7 +43,7 @@
         assert answer.status_code == status, (path, content[:40], answer.text)
     assert platform.call("GET", "entry-0", "/checks/").json() == {"waiting": 0}
     assert platform.call("GET", "entry-0", f"/checks/{JOB}01").status_code == 410
-    assert platform.see_endpoint("agent-0")["started"] == []
+    assert platform.read_endpoint("agent-0")["started"] == []
 
 
 def test_configuration_reaches_an_entry_that_the_store_refuses(
@@ -52,7 +52,7 @@
     # An entry served queues that the operators had removed: the store refused its calls
     # while the configuration changed, and it received changes only from the store.
     platform.start(entries=2, agents=1)
-    platform.set_store(turned_away=[platform.find_ip("entry-1")])
+    platform.control_store(turned_away=[platform.find_ip("entry-1")])
     moved = {**ROUTE, "prefix": "/moved/"}
     platform.write_routes(2, [moved])
     for entry in ("entry-0", "entry-1"):
@@ -67,12 +67,12 @@
 
 def test_jobs_are_served_with_the_store_down(platform: PlatformFleet) -> None:
     platform.start(entries=1, agents=1)
-    platform.set_store(turned_away=["all"])
+    platform.control_store(turned_away=["all"])
     assert platform.submit("entry-0", f"{JOB}01").json() == {"state": "completed"}
 
 
 def test_an_entry_without_configuration_refuses(platform: PlatformFleet) -> None:
-    platform.set_store(turned_away=["all"])
+    platform.control_store(turned_away=["all"])
     platform.start_entry("entry-0")
     wait_for(lambda: platform.call("GET", "entry-0", "/checks/"), "entry")
     answer = platform.submit("entry-0", f"{JOB}01")
@@ -85,10 +85,10 @@
     # agent waited for it. Instead the agent must make sure that the order can no longer
     # take effect, and then repeat it.
     platform.start(entries=1, agents=1)
-    platform.set_endpoint("agent-0", lose_starts=1)
+    platform.control_endpoint("agent-0", lose_starts=1)
     answer = platform.submit("entry-0", f"{JOB}01", width=2)
     assert answer.json() == {"state": "completed"}
-    assert len(platform.see_endpoint("agent-0")["started"]) == 2
+    assert len(platform.read_endpoint("agent-0")["started"]) == 2
 
 
 def test_a_killed_agent_is_replaced_and_the_job_goes_on(
@@ -99,11 +99,11 @@
     platform.start(entries=1, agents=1)
     with ThreadPoolExecutor() as pool:
         work = pool.submit(platform.submit, "entry-0", f"{JOB}01", CORES, 1.0)
-        wait_for(lambda: platform.see_endpoint("agent-0")["alive"], "runs")
+        wait_for(lambda: platform.read_endpoint("agent-0")["alive"], "runs")
         platform.kill("agent-0")
         platform.start_agent("agent-0")
         assert work.result().json() == {"state": "completed"}
-    assert platform.see_endpoint("agent-0")["most_at_once"] <= CORES
+    assert platform.read_endpoint("agent-0")["most_at_once"] <= CORES
 
 
 def test_runs_of_a_killed_entry_are_stopped(platform: PlatformFleet) -> None:
@@ -112,10 +112,10 @@
     platform.start(entries=2, agents=1)
     with ThreadPoolExecutor() as pool:
         work = pool.submit(platform.submit, "entry-0", f"{JOB}01", 1, 20.0)
-        wait_for(lambda: platform.see_endpoint("agent-0")["alive"], "run")
+        wait_for(lambda: platform.read_endpoint("agent-0")["alive"], "run")
         platform.kill("entry-0")
         assert work.exception() is not None
-    wait_for(lambda: not platform.see_endpoint("agent-0")["alive"], "end of the run")
+    wait_for(lambda: not platform.read_endpoint("agent-0")["alive"], "end of the run")
 
 
 def test_a_stopped_entry_answers_accepted_jobs(platform: PlatformFleet) -> None:
@@ -123,7 +123,7 @@
     platform.start(entries=1, agents=1)
     with ThreadPoolExecutor() as pool:
         work = pool.submit(platform.submit, "entry-0", f"{JOB}01", 1, 1.5)
-        wait_for(lambda: platform.see_endpoint("agent-0")["alive"], "run")
+        wait_for(lambda: platform.read_endpoint("agent-0")["alive"], "run")
         platform.kill("entry-0", signal.SIGTERM)
         assert work.result().json() == {"state": "completed"}
     assert platform.processes["entry-0"].wait(timeout=20) == 0
@@ -133,7 +133,7 @@
 
 def test_a_draining_endpoint_gets_no_new_work(platform: PlatformFleet) -> None:
     platform.start(entries=1, agents=1)
-    platform.set_endpoint("agent-0", draining=True)
+    platform.control_endpoint("agent-0", draining=True)
     wait_for(
         lambda: platform.submit("entry-0", f"{JOB}01").status_code == 503,
         "refusals while the only endpoint drains",
@@ -145,22 +145,24 @@
 ) -> None:
     # Follows the procedure in docs/OPERATIONS.md, with a job whose tasks all fail.
     platform.start(entries=1, agents=1)
-    platform.set_endpoint("agent-0", fails=True)
+    platform.control_endpoint("agent-0", fails=True)
     answer = platform.submit("entry-0", f"{JOB}01", width=1)
     assert answer.json() == {"state": "failed"}
     job = f"{JOB}01"
     # Log lines are written shortly after the event.
-    wait_for(lambda: platform.list_logged("entry-0", "job_ended", job), "the job's end")
-    (ended,) = platform.list_logged("entry-0", "job_ended", job)
+    wait_for(
+        lambda: platform.list_log_events("entry-0", "job_ended", job), "the job's end"
+    )
+    (ended,) = platform.list_log_events("entry-0", "job_ended", job)
     assert ended["reason"] == "attempts"
     wait_for(
         lambda: (
-            len(platform.list_logged("agent-0", "run_ended", job))
+            len(platform.list_log_events("agent-0", "run_ended", job))
             == ROUTE["max-attempts"]
         ),
         "the end of each run",
     )
-    runs = platform.list_logged("agent-0", "run_ended", job)
+    runs = platform.list_log_events("agent-0", "run_ended", job)
     assert [line["end"] for line in runs] == ["failed"] * ROUTE["max-attempts"]
 
 
