--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -40,28 +40,30 @@
         "            for sent in [*view.outstanding.values()]:\n"
         "                self.dispatcher._requeue(sent.task)\n        self._send(",
         f"{FAILURES}/test_starts.py::"
-        "test_restarted_agent_does_not_vouch_for_its_predecessor",
+        "test_restarted_agent_does_not_deny_starts_of_its_predecessor",
     ),
     Break(
         "start bound ignored",
         f"{CORE}/agent.py",
         "if self._now > start.start_by:",
         "if False:",
-        f"{FAILURES}/test_starts.py::test_stopped_agent_refuses_starts_from_its_buffer",
+        f"{FAILURES}/test_starts.py::"
+        "test_resumed_agent_refuses_stale_starts_from_its_buffer",
     ),
     Break(
         "repeated starts trusted",
         f"{CORE}/agent.py",
         "if record is not None and record.state is not RecordState.FENCED:",
         "if False:",
-        f"{FAILURES}/test_starts.py::test_repeated_bytes_start_nothing_twice",
+        f"{FAILURES}/test_starts.py::test_duplicated_frames_start_nothing_twice",
     ),
     Break(
         "silence tolerated",
         f"{CORE}/entry.py",
         "if self._now - view.heard_at > self.timing.silence:",
         "if False:",
-        f"{FAILURES}/test_starts.py::test_frozen_link_is_resolved_on_a_new_one",
+        f"{FAILURES}/test_starts.py::"
+        "test_starts_on_a_frozen_stream_are_resolved_on_a_new_one",
     ),
     Break(
         "short read taken for an answer",
@@ -69,14 +71,14 @@
         "return _end(task, Ending.ENDPOINT_FAILED, detail, began)\n"
         "        if not httpx",
         "return _end(task, Ending.ANSWERED, detail, began)\n        if not httpx",
-        f"{FAILURES}/test_jobs.py::test_one_bad_task_fails_the_job_at_once",
+        f"{FAILURES}/test_jobs.py::test_one_failed_task_fails_the_job_at_once",
     ),
     Break(
         "rest of a failed job goes on",
         f"{CORE}/dispatch.py",
         "        service.drop_waiting(job.tasks)\n",
         "",
-        f"{FAILURES}/test_jobs.py::test_one_bad_task_fails_the_job_at_once",
+        f"{FAILURES}/test_jobs.py::test_one_failed_task_fails_the_job_at_once",
     ),
     Break(
         "late answers joined",
@@ -91,21 +93,23 @@
         f"{CORE}/dispatch.py",
         "ran = Ran.MAY_HAVE_RUN if job.started or has_run else Ran.NOT_RUN",
         "ran = Ran.NOT_RUN",
-        f"{FAILURES}/test_refusals.py::test_no_endpoint_and_every_endpoint_lost",
+        f"{FAILURES}/test_refusals.py::test_loss_of_the_last_endpoint_is_reported",
     ),
     Break(
         "claims skipped",
         f"{CORE}/dispatch.py",
         "        if class_table.idempotent:\n            service.queue.add(task)",
         "        if True:\n            service.queue.add(task)",
-        f"{FAILURES}/test_requests.py::test_two_entries_at_once_run_it_once",
+        f"{FAILURES}/test_requests.py::"
+        "test_concurrent_duplicates_at_two_entries_run_once",
     ),
     Break(
         "own claim not recognised",
         "src/godwitbank/_internal/operations/entry.py",
         "if row.value == action.claims[key]:",
         "if False:",
-        f"{FAILURES}/test_requests.py::test_lost_answer_to_a_claim_that_took_effect",
+        f"{FAILURES}/test_requests.py::"
+        "test_committed_claim_with_a_lost_response_is_recognised",
     ),
     Break(
         "abandoned claim not taken back",
@@ -119,28 +123,30 @@
         f"{CORE}/agent.py",
         "        if self.leaving:\n            return Refusal.LEAVING\n",
         "",
-        f"{FAILURES}/test_leaving.py::test_entry_that_never_hears_can_start_nothing",
+        f"{FAILURES}/test_leaving.py::"
+        "test_uninformed_entry_starts_nothing_on_a_leaving_endpoint",
     ),
     Break(
         "agent exits with work running",
         f"{CORE}/agent.py",
         "if not self._endpoint_lease.stopping or self.running or self._drained:",
         "if not self._endpoint_lease.stopping or self._drained:",
-        f"{FAILURES}/test_leaving.py::test_leaving_takes_nothing_new_and_cuts_nothing",
+        f"{FAILURES}/test_leaving.py::"
+        "test_leaving_agent_starts_nothing_new_and_finishes_its_tasks",
     ),
     Break(
         "lease never lapses",
         f"{CORE}/endpoint_lease.py",
         "if self.service and self.is_lapsed(now):",
         "if False:",
-        f"{FAILURES}/test_leaving.py::test_vanished_endpoint_lapses",
+        f"{FAILURES}/test_leaving.py::test_lease_of_a_killed_endpoint_expires",
     ),
     Break(
         "entry stops without its delay and its requests",
         "src/godwitbank/_internal/operations/entry.py",
         "await self._drain(http)",
         "self.draining = True",
-        f"{FAILURES}/test_stopping.py::test_rolling_restart_cuts_and_refuses_nothing",
+        f"{FAILURES}/test_stopping.py::test_rolling_restart_fails_no_request",
     ),
     Break(
         "lower revision accepted",
@@ -154,14 +160,16 @@
         "src/godwitbank/_internal/operations/registry.py",
         "if request.expected_revision != current:",
         "if False:",
-        f"{FAILURES}/test_configuration.py::test_operators_race_and_one_wins",
+        f"{FAILURES}/test_configuration.py::"
+        "test_one_of_two_concurrent_applies_is_rejected",
     ),
     Break(
         "own write not recognised",
         "src/godwitbank/_internal/operations/registry.py",
         "        if done is not None:",
         "        if False:",
-        f"{FAILURES}/test_configuration.py::test_lost_answer_of_an_accepted_write",
+        f"{FAILURES}/test_configuration.py::"
+        "test_accepted_write_with_a_lost_response_succeeds",
     ),
     Break(
         "booting entry asks the table only",
@@ -170,7 +178,8 @@
         "        self._install_document("
         "document.service, document.revision, document.text)",
         "        pass",
-        f"{FAILURES}/test_configuration.py::test_boot_in_an_outage_learns_from_others",
+        f"{FAILURES}/test_configuration.py::"
+        "test_entry_started_in_an_outage_reads_configuration_from_peers",
     ),
     Break(
         "nobody is ejected",
--- a/tests/failures/test_bad_input.py
+++ b/tests/failures/test_bad_input.py
@@ -25,7 +25,7 @@
     assert problem["remedy"]
 
 
-def test_callers_mistakes(fleet: Fleet) -> None:
+def test_invalid_requests_are_rejected(fleet: Fleet) -> None:
     start_desk(fleet, agents=1, max_body=100_000)
     entry = fleet.entries[0]
     jobs = f"{base_url(entry)}/v1/services/desk/jobs"
@@ -46,7 +46,7 @@
     assert send_job(entry, make_job(3, run_ms=1)).status_code == 200
 
 
-def test_operators_mistakes(fleet: Fleet, tmp_path: Path) -> None:
+def test_exit_statuses_of_operator_commands(fleet: Fleet, tmp_path: Path) -> None:
     start_desk(fleet, agents=1)
     wrong = tmp_path / "wrong.toml"
     wrong.write_text('[service]\nname = "desk"\nteem = "x"\n')
@@ -72,7 +72,7 @@
     assert "submissions_completed" in fleet.operate("counters").stdout
 
 
-def test_garbage_on_the_agents_port(fleet: Fleet) -> None:
+def test_invalid_frames_close_only_their_stream(fleet: Fleet) -> None:
     """Something that is no entry talks to an agent.
 
     Symptom: the agent dies, or drops the streams of its entries.
@@ -100,7 +100,7 @@
     assert send_job(fleet.entries[0], make_job(8, run_ms=1)).status_code == 200
 
 
-def test_address_in_use_is_said_so(fleet: Fleet) -> None:
+def test_address_in_use_is_reported(fleet: Fleet) -> None:
     entry = fleet.start_entry()
     code = "from godwitbank._internal.cli.entrypoints import run_entry; run_entry()"
     path = fleet.folder / f"{entry.name}.toml"
--- a/tests/failures/test_configuration.py
+++ b/tests/failures/test_configuration.py
@@ -14,7 +14,7 @@
 pytestmark = pytest.mark.processes
 
 
-class Watch:
+class RevisionMonitor:
     """Checks all along that no process ever shows a lower revision."""
 
     def __init__(self, fleet: Fleet) -> None:
@@ -22,24 +22,26 @@
         self._stop = threading.Event()
         self._highest: dict[str, int] = {}
         self.reverted: list[str] = []
-        self.looks = 0
-        self._thread = threading.Thread(target=self._look, daemon=True)
+        self.reads = 0
+        self._thread = threading.Thread(target=self._poll_revisions, daemon=True)
         self._thread.start()
 
-    def _look(self) -> None:
+    def _poll_revisions(self) -> None:
         while not self._stop.is_set():
-            for running in [*self._fleet.entries, *self._fleet.agents]:
-                path = "status" if running in self._fleet.entries else "endpoint"
+            for server in [*self._fleet.entries, *self._fleet.agents]:
+                path = "status" if server in self._fleet.entries else "endpoint"
                 try:
-                    state = httpx.get(f"{base_url(running)}/v1/{path}", timeout=1)
+                    state = httpx.get(f"{base_url(server)}/v1/{path}", timeout=1)
                 except httpx.HTTPError:
                     continue
-                self._note(f"{running.name}/{running.process.pid}", state.json())
+                self._record_revision(
+                    f"{server.name}/{server.process.pid}", state.json()
+                )
             self._stop.wait(0.05)
 
-    def _note(self, name: str, state: dict[str, Any]) -> None:
+    def _record_revision(self, name: str, state: dict[str, Any]) -> None:
         revision = state["revisions"].get("desk", 0)
-        self.looks += 1
+        self.reads += 1
         if revision < self._highest.get(name, 0):
             self.reverted.append(f"{name}: {revision}")
         self._highest[name] = max(revision, self._highest.get(name, 0))
@@ -49,7 +51,7 @@
         self._stop.set()
         self._thread.join(10)
         assert self.reverted == []
-        assert self.looks > 0
+        assert self.reads > 0
 
 
 def _write(folder: Path, slots: int) -> str:
@@ -59,7 +61,9 @@
     return str(path)
 
 
-def test_operators_race_and_one_wins(fleet: Fleet, tmp_path: Path) -> None:
+def test_one_of_two_concurrent_applies_is_rejected(
+    fleet: Fleet, tmp_path: Path
+) -> None:
     """Two operators change the same document at once, through two entries.
 
     Symptom: one change silently undoes the other.
@@ -67,7 +71,7 @@
     Cause: a write that doesn't depend on what its author saw.
     """
     start_desk(fleet, entries=2, agents=1)
-    both = [
+    pending = [
         in_background(
             fleet.operate,
             "apply",
@@ -78,7 +82,7 @@
         )
         for number in range(2)
     ]
-    results = [each.result(timeout=30) for each in both]
+    results = [each.result(timeout=30) for each in pending]
     codes = sorted(each.returncode for each in results)
     assert codes == [0, 4], [each.stderr for each in results]
     winner = next(n for n, each in enumerate(results) if each.returncode == 0)
@@ -86,7 +90,9 @@
     assert f"op-{winner}" in loser.stderr
 
 
-def test_lost_answer_of_an_accepted_write(fleet: Fleet, tmp_path: Path) -> None:
+def test_accepted_write_with_a_lost_response_succeeds(
+    fleet: Fleet, tmp_path: Path
+) -> None:
     """The table accepts a document but its answer is lost.
 
     Symptom: the operator is told "failed" for a change that is in force, or a
@@ -103,9 +109,11 @@
     assert waited.returncode == 0, waited.stdout
 
 
-def test_in_force_everywhere_within_seconds(fleet: Fleet, tmp_path: Path) -> None:
+def test_revision_is_in_force_everywhere_within_seconds(
+    fleet: Fleet, tmp_path: Path
+) -> None:
     start_desk(fleet, entries=3, agents=4)
-    watch = Watch(fleet)
+    monitor = RevisionMonitor(fleet)
     took = []
     for number in range(5):
         began = time.monotonic()
@@ -121,11 +129,13 @@
             )
             assert waited.returncode == 0, waited.stdout
         took.append(time.monotonic() - began)
-    watch.finish()
+    monitor.finish()
     print(f"in force everywhere after {max(took):.2f} s at most, commands included")
 
 
-def test_boot_in_an_outage_learns_from_others(fleet: Fleet, tmp_path: Path) -> None:
+def test_entry_started_in_an_outage_reads_configuration_from_peers(
+    fleet: Fleet, tmp_path: Path
+) -> None:
     """All entries are replaced, one by one, while the table is down.
 
     Symptom: a new entry serves without a document, or on an old one.
@@ -137,7 +147,7 @@
     applied = fleet.operate("apply", _write(tmp_path, 5))
     assert applied.returncode == 0, applied.stderr
     fleet.operate("wait", "--service=desk", "--revision=2", "--timeout=6")
-    watch = Watch(fleet)
+    monitor = RevisionMonitor(fleet)
     fleet.control_platform(down=True)
     for _ in range(2):
         fleet.start_entry()
@@ -148,10 +158,10 @@
         answer = send_request(fleet.entries[-1], {"run_ms": 1})
         assert answer.status_code == 200, answer.text
         assert fleet.status(len(fleet.entries) - 1)["revisions"]["desk"] == 2
-    watch.finish()
+    monitor.finish()
 
 
-def test_old_reads_and_a_paused_entry_never_revert(
+def test_stale_reads_and_a_paused_entry_revert_nothing(
     fleet: Fleet, tmp_path: Path
 ) -> None:
     """A read of an old state reaches processes that know better.
@@ -165,7 +175,7 @@
     fleet.entries[1].freeze()
     applied = fleet.operate("apply", _write(tmp_path, 5), entry=0)
     assert applied.returncode == 0, applied.stderr
-    watch = Watch(fleet)
+    monitor = RevisionMonitor(fleet)
     fleet.control_platform(age_reads=1)
     fleet.start_entry()
     fleet.entries[1].thaw()
@@ -175,4 +185,4 @@
             f"revision 2 at entry {number}",
             10,
         )
-    watch.finish()
+    monitor.finish()
--- a/tests/failures/test_endpoints.py
+++ b/tests/failures/test_endpoints.py
@@ -58,7 +58,7 @@
     assert send_job(fleet.entries[0], make_job(40, run_ms=5)).status_code == 200
 
 
-def test_work_goes_on_while_the_table_is_down(fleet: Fleet) -> None:
+def test_requests_are_served_while_the_table_is_down(fleet: Fleet) -> None:
     """The platform's table is down for the whole test.
 
     Symptom: starts, answers or drains wait for the table.
--- a/tests/failures/test_jobs.py
+++ b/tests/failures/test_jobs.py
@@ -28,7 +28,7 @@
     assert "answers" not in problem
 
 
-def test_endpoint_that_dies_fails_the_job(fleet: Fleet) -> None:
+def test_killed_endpoint_fails_the_job(fleet: Fleet) -> None:
     """An endpoint dies in the middle of a job.
 
     Symptom: a partial answer, or none until the deadline.
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize("fault", ["short", "fail"])
-def test_one_bad_task_fails_the_job_at_once(fleet: Fleet, fault: str) -> None:
+def test_one_failed_task_fails_the_job_at_once(fleet: Fleet, fault: str) -> None:
     """One task's answer is cut short, or refused by the endpoint.
 
     Symptom: the caller gets the other answers, or waits for them in vain.
@@ -67,7 +67,7 @@
     assert status["services"][0]["waiting"] == 0
 
 
-def test_callers_that_hang_up_leave_no_work_behind(fleet: Fleet) -> None:
+def test_jobs_of_disconnected_callers_are_cancelled(fleet: Fleet) -> None:
     """A wave of callers hangs up.
 
     Symptom: endpoints run work that nobody waits for.
--- a/tests/failures/test_leaving.py
+++ b/tests/failures/test_leaving.py
@@ -49,7 +49,9 @@
 
 
 @pytest.mark.parametrize("way", ["agent", "operator"])
-def test_leaving_takes_nothing_new_and_cuts_nothing(fleet: Fleet, way: str) -> None:
+def test_leaving_agent_starts_nothing_new_and_finishes_its_tasks(
+    fleet: Fleet, way: str
+) -> None:
     """An agent is stopped, or drained by an operator, in the middle of a job.
 
     Symptom: a request is cut, or work still starts there.
@@ -71,7 +73,7 @@
         assert fleet.agents[0].process.wait(20) == 0
 
 
-def test_endpoint_leaves_by_its_own_word(fleet: Fleet) -> None:
+def test_endpoint_that_unregisters_finishes_its_tasks(fleet: Fleet) -> None:
     """An endpoint says that it leaves, and waits until nothing runs.
 
     Symptom: its exit cuts requests.
@@ -87,7 +89,7 @@
     assert fleet.endpoints[0].process.wait(20) == 0
 
 
-def test_entry_that_never_hears_can_start_nothing(fleet: Fleet) -> None:
+def test_uninformed_entry_starts_nothing_on_a_leaving_endpoint(fleet: Fleet) -> None:
     """An endpoint leaves while an entry is cut off from its agent.
 
     Symptom: the entry that never heard starts work on a leaving endpoint.
@@ -107,7 +109,7 @@
     assert len(count_starts(fleet)) == 1
 
 
-def test_vanished_endpoint_lapses(fleet: Fleet) -> None:
+def test_lease_of_a_killed_endpoint_expires(fleet: Fleet) -> None:
     """An endpoint vanishes without a word.
 
     Symptom: work is sent to it until somebody notices.
--- a/tests/failures/test_refusals.py
+++ b/tests/failures/test_refusals.py
@@ -53,7 +53,7 @@
     return state["revisions"].get("desk") == revision
 
 
-def test_quota_over_two_entries(fleet: Fleet, tmp_path: Path) -> None:
+def test_quota_across_two_entries(fleet: Fleet, tmp_path: Path) -> None:
     """A team submits more than its quota, through two entries.
 
     Symptom: work refused for the quota ran, or each entry admits a whole quota.
@@ -81,7 +81,7 @@
     assert answers[0].is_success
 
 
-def test_overload_and_bounds(fleet: Fleet, tmp_path: Path) -> None:
+def test_jobs_refused_under_overload_have_not_run(fleet: Fleet, tmp_path: Path) -> None:
     """Far more arrives than the slots or the queue allow.
 
     Symptom: a refused job did run in part.
@@ -109,7 +109,7 @@
     assert any(answer.is_success for answer in answers)
 
 
-def test_no_endpoint_and_every_endpoint_lost(fleet: Fleet) -> None:
+def test_loss_of_the_last_endpoint_is_reported(fleet: Fleet) -> None:
     """The last endpoint leaves while work waits for it.
 
     Symptom: callers wait until their deadline, or are told a guess.
@@ -132,7 +132,7 @@
     assert after.json()["ran"] == "not_run"
 
 
-def test_an_entry_that_knows_nothing_says_so(fleet: Fleet) -> None:
+def test_entry_without_configuration_is_not_ready(fleet: Fleet) -> None:
     """An entry boots alone while the table is down.
 
     Symptom: it serves without a document.
--- a/tests/failures/test_requests.py
+++ b/tests/failures/test_requests.py
@@ -18,7 +18,7 @@
     assert count_keys(fleet)[key] == times
 
 
-def test_two_entries_at_once_run_it_once(fleet: Fleet) -> None:
+def test_concurrent_duplicates_at_two_entries_run_once(fleet: Fleet) -> None:
     """The same request id reaches two entries at the same moment.
 
     Symptom: a teacher is charged twice.
@@ -103,7 +103,7 @@
     _assert_ran(fleet, "widow", 1)
 
 
-def test_store_outage_refuses_truthfully_and_heals(fleet: Fleet) -> None:
+def test_request_refused_in_a_store_outage_can_be_retried(fleet: Fleet) -> None:
     """The table is down when a charge arrives.
 
     Symptom: the charge runs unclaimed, or its id is burnt for ever.
@@ -134,7 +134,7 @@
     return answer if answer.status_code == 200 else None
 
 
-def test_lost_answer_to_a_claim_that_took_effect(fleet: Fleet) -> None:
+def test_committed_claim_with_a_lost_response_is_recognised(fleet: Fleet) -> None:
     """The table commits a claim but its answer is lost.
 
     Symptom: the caller is told "duplicate" for a request that never ran.
--- a/tests/failures/test_starts.py
+++ b/tests/failures/test_starts.py
@@ -49,7 +49,9 @@
 
 
 @pytest.mark.parametrize("way", ["to_target", "to_client", "both"])
-def test_frozen_link_is_resolved_on_a_new_one(fleet: Fleet, way: str) -> None:
+def test_starts_on_a_frozen_stream_are_resolved_on_a_new_one(
+    fleet: Fleet, way: str
+) -> None:
     """A stream goes silent for good after starts were sent.
 
     Symptom: a task runs twice, or its caller waits until its deadline.
@@ -69,7 +71,7 @@
     _assert_once(fleet)
 
 
-def test_stopped_agent_refuses_starts_from_its_buffer(fleet: Fleet) -> None:
+def test_resumed_agent_refuses_stale_starts_from_its_buffer(fleet: Fleet) -> None:
     """An agent is frozen with starts in its socket buffer, and wakes.
 
     Symptom: a task given up long ago starts when the process continues.
@@ -101,7 +103,7 @@
     _assert_once(fleet)
 
 
-def test_restarted_agent_does_not_vouch_for_its_predecessor(fleet: Fleet) -> None:
+def test_restarted_agent_does_not_deny_starts_of_its_predecessor(fleet: Fleet) -> None:
     """An agent is killed and started at once at the same address.
 
     Symptom: a task that ran is declared never started, and runs again.
@@ -124,7 +126,7 @@
     _assert_once(fleet)
 
 
-def test_repeated_bytes_start_nothing_twice(fleet: Fleet) -> None:
+def test_duplicated_frames_start_nothing_twice(fleet: Fleet) -> None:
     """A stream delivers frames twice.
 
     Symptom: a task starts twice.
@@ -140,7 +142,7 @@
     assert count_starts(fleet)
 
 
-def test_lost_bytes_end_only_their_stream(fleet: Fleet) -> None:
+def test_lost_bytes_close_only_their_stream(fleet: Fleet) -> None:
     """A piece of a stream is lost, so the rest is garbage.
 
     Symptom: a task runs with another task's payload, or all work stops.
--- a/tests/failures/test_stopping.py
+++ b/tests/failures/test_stopping.py
@@ -17,7 +17,7 @@
 authorities and took 2.3 cores, more than all processes under test."""
 
 
-class Load:
+class LoadGenerator:
     """Callers that send requests through the balancer until told to stop."""
 
     def __init__(self, fleet: Fleet, callers: int = 12) -> None:
@@ -57,7 +57,7 @@
     )
 
 
-def test_rolling_restart_cuts_and_refuses_nothing(fleet: Fleet) -> None:
+def test_rolling_restart_fails_no_request(fleet: Fleet) -> None:
     """The whole fleet is replaced, one process after the other, under load.
 
     Symptom: a clerk sees an error during a rollout.
@@ -67,17 +67,17 @@
     could have taken.
     """
     start_desk(fleet, entries=2, agents=3)
-    load = Load(fleet)
+    load = LoadGenerator(fleet)
     try:
-        replace_all(fleet)
-        await_answers(load)
+        replace_processes(fleet)
+        wait_for_answers(load)
     finally:
         load.finish()
     assert load.failures == []
     assert load.answered > 100
 
 
-def replace_all(fleet: Fleet) -> None:
+def replace_processes(fleet: Fleet) -> None:
     """Replace each entry and each agent, one after the other."""
     for _ in range(2):
         fleet.start_entry()
@@ -97,7 +97,7 @@
         fleet.await_agents(3)
 
 
-def await_answers(load: Load) -> None:
+def wait_for_answers(load: LoadGenerator) -> None:
     """Wait until callers are answered by what replaced the old processes."""
     answered = load.answered
     wait_for(lambda: load.answered >= answered + 20, "answers after the rollout")
