--- a/tests/failures/__init__.py
+++ b/tests/failures/__init__.py
@@ -1,1 +1,1 @@
-"""Real processes under failure."""
+"""Tests of real processes under failures."""
--- a/tests/failures/test_answers.py
+++ b/tests/failures/test_answers.py
@@ -1,4 +1,4 @@
-"""Each caller gets the whole answer to its own request."""
+"""Each caller receives the complete answer to its own request."""
 
 import concurrent.futures
 
@@ -12,11 +12,10 @@
 
 
 def test_hundreds_of_callers_each_get_their_own_answer(fleet: Fleet) -> None:
-    """Hundreds of callers are served at once.
+    """Send requests of hundreds of concurrent callers.
 
-    Symptom: a caller reads another's answer.
-    Sequence: answers come back in another order than their requests went out.
-    Cause: answers joined by order instead of by task.
+    Answers arrive in a different order than their requests were sent. If they were
+    matched by order instead of by task, a caller would receive another's answer.
     """
     start_desk(fleet, entries=2, agents=3)
 
@@ -30,12 +29,11 @@
 
 
 def test_late_answer_never_reaches_the_next_caller(fleet: Fleet) -> None:
-    """An endpoint answers after its caller's deadline.
+    """Let an endpoint answer after its caller's deadline.
 
-    Symptom: the next caller gets the last one's answer.
-    Sequence: a request times out while the endpoint still works; the next
-    request goes to the same endpoint.
-    Cause: a connection is used again with an answer still to come on it.
+    The next request goes to the same endpoint while it still works on the one that
+    timed out. If the connection with the pending answer were reused, the next caller
+    would receive the answer to the previous request.
     """
     start_desk(fleet, agents=1, slots=1)
     for number in range(6):
@@ -50,12 +48,11 @@
 
 
 def test_answer_that_arrives_after_the_deadline_is_dropped(fleet: Fleet) -> None:
-    """An answer is on its way when its caller's deadline passes.
+    """Let the deadline pass while the answer is in transit.
 
-    Symptom: a job that failed is answered again, or its entry breaks.
-    Sequence: the stream is slow; the endpoint answers in time, the entry hears
-    of it after it has told the caller that the deadline passed.
-    Cause: answers joined without looking at what has become of their job.
+    The endpoint answers in time, but the stream is slow, so the entry receives the
+    answer after it has reported the missed deadline to the caller. If the entry
+    didn't check the state of the job, it would answer the failed job again or crash.
     """
     start_desk(fleet, agents=1, proxied=True)
     send_request(fleet.entries[0], {"run_ms": 1})
--- a/tests/failures/test_bad_input.py
+++ b/tests/failures/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input is refused clearly and hurts nobody else."""
+"""Invalid input is refused with a clear message and affects nobody else."""
 
 import socket
 import subprocess
@@ -36,10 +36,10 @@
     _assert_problem(oversize, 413, "body_too_large")
     unknown = jobs.replace("desk", "nobody")
     _assert_problem(httpx.post(unknown, json=make_job(1)), 404, "unknown_service")
-    wrong = send_job(entry, make_job(1, kind="nothing"))
-    _assert_problem(wrong, 422, "unknown_class")
-    unnamed = send_job(entry, make_job(1, kind="renewal"))
-    _assert_problem(unnamed, 422, "missing_request_id")
+    invalid = send_job(entry, make_job(1, kind="nothing"))
+    _assert_problem(invalid, 422, "unknown_class")
+    without_id = send_job(entry, make_job(1, kind="renewal"))
+    _assert_problem(without_id, 422, "missing_request_id")
     _assert_problem(httpx.get(f"{base_url(entry)}/nowhere"), 404, "not_found")
     schema = httpx.get(f"{base_url(entry)}/schema/openapi.json").json()
     assert "/v1/services/{service}/jobs" in schema["paths"]
@@ -48,17 +48,17 @@
 
 def test_exit_statuses_of_operator_commands(fleet: Fleet, tmp_path: Path) -> None:
     start_desk(fleet, agents=1)
-    wrong = tmp_path / "wrong.toml"
-    wrong.write_text('[service]\nname = "desk"\nteem = "x"\n')
+    invalid = tmp_path / "wrong.toml"
+    invalid.write_text('[service]\nname = "desk"\nteem = "x"\n')
     for command in ("check", "apply", "diff"):
-        result = fleet.operate(command, str(wrong))
+        result = fleet.operate(command, str(invalid))
         assert result.returncode == 3, result.stdout
         assert "line 3" in result.stderr
         assert "service.teem" in result.stderr
         assert "remedy" in result.stderr
-    stale = fleet.operate("apply", "demo/desk.toml", "--revision=7")
-    assert stale.returncode == 4, stale.stderr
-    assert "revision 1, not 7" in stale.stderr
+    conflict = fleet.operate("apply", "demo/desk.toml", "--revision=7")
+    assert conflict.returncode == 4, conflict.stderr
+    assert "revision 1, not 7" in conflict.stderr
     assert fleet.operate("nonsense").returncode == 2
     assert fleet.operate("drain", "nobody").returncode == 1
     assert fleet.operate("diff", "demo/desk.toml").returncode == 0
@@ -73,11 +73,11 @@
 
 
 def test_invalid_frames_close_only_their_stream(fleet: Fleet) -> None:
-    """Something that is no entry talks to an agent.
+    """Send data to an agent from a client that isn't an entry.
 
-    Symptom: the agent dies, or drops the streams of its entries.
-    Sequence: garbage, half a frame, an unknown version, no greeting.
-    Cause: one reader's error ending more than its own stream.
+    The data are an HTTP request, a message without a preceding hello, an unknown
+    protocol version, an invalid frame and an incomplete frame. An error in reading
+    one stream must not stop the agent or close the streams of its entries.
     """
     start_desk(fleet, agents=1)
     agent = fleet.agents[0]
@@ -89,10 +89,10 @@
         b"\x00\x00\x00\x02\xc1\xc1",
         b"\x00\x00\x00\x7f\x01",
     ):
-        with socket.create_connection(("127.0.0.1", agent.stream), 5) as link:
-            link.sendall(data)
-            link.settimeout(10)
-            while link.recv(4096):
+        with socket.create_connection(("127.0.0.1", agent.stream), 5) as connection:
+            connection.sendall(data)
+            connection.settimeout(10)
+            while connection.recv(4096):
                 pass
     wait_for(lambda: read_counter(agent, "streams_closed", "bad_frame") >= 2, "counts")
     assert read_counter(agent, "streams_refused", "version") == 1
--- a/tests/failures/test_configuration.py
+++ b/tests/failures/test_configuration.py
@@ -1,4 +1,4 @@
-"""An accepted configuration is in force everywhere within seconds, for good."""
+"""An accepted configuration takes effect everywhere within seconds and stays."""
 
 import threading
 import time
@@ -15,7 +15,11 @@
 
 
 class RevisionMonitor:
-    """Checks all along that no process ever shows a lower revision."""
+    """Polls all processes and records every decrease of a revision.
+
+    :ivar reverted: process and lower revision of each decrease.
+    :ivar reads: number of revisions read.
+    """
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
@@ -47,14 +51,14 @@
         self._highest[name] = max(revision, self._highest.get(name, 0))
 
     def finish(self) -> None:
-        """Stop, and fail if anything reverted."""
+        """Stop polling and assert that no revision decreased."""
         self._stop.set()
         self._thread.join(10)
         assert self.reverted == []
         assert self.reads > 0
 
 
-def _write(folder: Path, slots: int) -> str:
+def _write_document(folder: Path, slots: int) -> str:
     path = folder / f"desk-{slots}.toml"
     text = (DEMO / "desk.toml").read_text()
     path.write_text(text.replace("slots = 8", f"slots = {slots}"))
@@ -64,18 +68,17 @@
 def test_one_of_two_concurrent_applies_is_rejected(
     fleet: Fleet, tmp_path: Path
 ) -> None:
-    """Two operators change the same document at once, through two entries.
+    """Apply two changes of a document at once, through two entries.
 
-    Symptom: one change silently undoes the other.
-    Sequence: both saw revision 1, both apply at the same moment.
-    Cause: a write that doesn't depend on what its author saw.
+    Both operators have read revision 1. If a write didn't depend on the revision that
+    its author read, one change would silently overwrite the other.
     """
     start_desk(fleet, entries=2, agents=1)
     pending = [
         in_background(
             fleet.operate,
             "apply",
-            _write(tmp_path, number + 3),
+            _write_document(tmp_path, number + 3),
             "--revision=1",
             f"--operator=op-{number}",
             entry=number,
@@ -93,20 +96,19 @@
 def test_accepted_write_with_a_lost_response_succeeds(
     fleet: Fleet, tmp_path: Path
 ) -> None:
-    """The table accepts a document but its answer is lost.
+    """Lose the response to a write that the table has committed.
 
-    Symptom: the operator is told "failed" for a change that is in force, or a
-    second try conflicts with the first.
-    Sequence: the transaction commits, the answer is lost, the entry reads back.
-    Cause: no way to recognise one's own write.
+    The entry reads the document back. If it couldn't recognise its own write, the
+    operator would be told that a change in force had failed, or a retry would conflict
+    with the first attempt.
     """
     start_desk(fleet, agents=1)
     fleet.control_platform(lose_answers=1)
-    applied = fleet.operate("apply", _write(tmp_path, 5), "--revision=1")
+    applied = fleet.operate("apply", _write_document(tmp_path, 5), "--revision=1")
     assert applied.returncode == 0, applied.stderr
     assert "revision 2" in applied.stdout
-    waited = fleet.operate("wait", "--service=desk", "--revision=2", "--timeout=6")
-    assert waited.returncode == 0, waited.stdout
+    wait = fleet.operate("wait", "--service=desk", "--revision=2", "--timeout=6")
+    assert wait.returncode == 0, wait.stdout
 
 
 def test_revision_is_in_force_everywhere_within_seconds(
@@ -114,37 +116,37 @@
 ) -> None:
     start_desk(fleet, entries=3, agents=4)
     monitor = RevisionMonitor(fleet)
-    took = []
+    durations = []
     for number in range(5):
-        began = time.monotonic()
-        applied = fleet.operate("apply", _write(tmp_path, number + 2))
+        started_at = time.monotonic()
+        applied = fleet.operate("apply", _write_document(tmp_path, number + 2))
         assert applied.returncode == 0, applied.stderr
         for entry in range(3):
-            waited = fleet.operate(
+            wait = fleet.operate(
                 "wait",
                 "--service=desk",
                 f"--revision={number + 2}",
                 "--timeout=6",
                 entry=entry,
             )
-            assert waited.returncode == 0, waited.stdout
-        took.append(time.monotonic() - began)
+            assert wait.returncode == 0, wait.stdout
+        durations.append(time.monotonic() - started_at)
     monitor.finish()
-    print(f"in force everywhere after {max(took):.2f} s at most, commands included")
+    print(
+        f"in force everywhere after {max(durations):.2f} s at most, commands included"
+    )
 
 
 def test_entry_started_in_an_outage_reads_configuration_from_peers(
     fleet: Fleet, tmp_path: Path
 ) -> None:
-    """All entries are replaced, one by one, while the table is down.
+    """Replace all entries, one by one, while the table is down.
 
-    Symptom: a new entry serves without a document, or on an old one.
-    Sequence: revision 2 is accepted, the table goes down, a new entry starts
-    and an old one stops, until none of the old ones is left.
-    Cause: a process that only asks the table.
+    Revision 2 is accepted before the outage. If a starting entry read documents from
+    the table only, it would serve without a document or with an old one.
     """
     start_desk(fleet, entries=2, agents=2)
-    applied = fleet.operate("apply", _write(tmp_path, 5))
+    applied = fleet.operate("apply", _write_document(tmp_path, 5))
     assert applied.returncode == 0, applied.stderr
     fleet.operate("wait", "--service=desk", "--revision=2", "--timeout=6")
     monitor = RevisionMonitor(fleet)
@@ -164,16 +166,15 @@
 def test_stale_reads_and_a_paused_entry_revert_nothing(
     fleet: Fleet, tmp_path: Path
 ) -> None:
-    """A read of an old state reaches processes that know better.
+    """Serve stale reads to processes that may have a newer revision.
 
-    Symptom: an accepted change is undone.
-    Sequence: the table serves reads as of revision 1; revision 2 is accepted;
-    an entry paused before it wakes; a new entry boots on the old reads.
-    Cause: what was read last taken for what is newest.
+    After revision 2 is accepted, the table serves reads as of revision 1, an entry
+    paused before the change resumes, and a new entry starts. If the last revision read
+    replaced a higher one, the accepted change would be undone.
     """
     start_desk(fleet, entries=2, agents=2)
     fleet.entries[1].freeze()
-    applied = fleet.operate("apply", _write(tmp_path, 5), entry=0)
+    applied = fleet.operate("apply", _write_document(tmp_path, 5), entry=0)
     assert applied.returncode == 0, applied.stderr
     monitor = RevisionMonitor(fleet)
     fleet.control_platform(age_reads=1)
--- a/tests/failures/test_endpoints.py
+++ b/tests/failures/test_endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints that fail everything, tasks that fail everywhere, a dead table."""
+"""Endpoints and tasks that always fail, and an outage of the table."""
 
 import concurrent.futures
 
@@ -17,38 +17,36 @@
 
 
 def _send_many(fleet: Fleet, count: int, **payload: object) -> list[int]:
-    def call(number: int) -> int:
+    def send(number: int) -> int:
         return send_request(fleet.entries[0], {"run_ms": 20, **payload}).status_code
 
     with concurrent.futures.ThreadPoolExecutor(8) as pool:
-        return list(pool.map(call, range(count)))
+        return list(pool.map(send, range(count)))
 
 
 def test_endpoint_that_fails_everything_is_ejected(fleet: Fleet) -> None:
-    """An endpoint fails everything at once and so looks idle.
+    """Let one of four endpoints fail every task immediately.
 
-    Symptom: it draws most of the work and fails it.
-    Sequence: one of four endpoints answers every task with an error at once.
-    Cause: load judged by free slots alone.
+    Such an endpoint always has free slots. If endpoints were chosen by free slots
+    alone, it would receive most of the tasks and fail them.
     """
     start_desk(fleet, agents=4)
     _send_many(fleet, 40)
     before = len(fleet.record(fleet.endpoints[0])["tasks"])
     fleet.control_endpoint(fleet.endpoints[0], fail=True)
     codes = _send_many(fleet, 300)
-    taken = len(fleet.record(fleet.endpoints[0])["tasks"]) - before
-    print(f"the failing endpoint took {taken} of 300 tasks")
+    received = len(fleet.record(fleet.endpoints[0])["tasks"]) - before
+    print(f"the failing endpoint took {received} of 300 tasks")
     assert read_counter(fleet.entries[0], "ejected", "failing") >= 1
-    assert taken <= 15
+    assert received <= 15
     assert codes.count(200) >= 285
 
 
 def test_task_that_fails_everywhere_ejects_nobody(fleet: Fleet) -> None:
-    """Jobs that can never run are submitted over and over.
+    """Submit tasks that fail at every endpoint.
 
-    Symptom: good endpoints are ejected one after the other.
-    Sequence: every task of the jobs fails at whichever endpoint it meets.
-    Cause: a failure always counted against the endpoint.
+    If every failure counted against the endpoint that ran the task, healthy endpoints
+    would be ejected one after the other.
     """
     start_desk(fleet, agents=4)
     _send_many(fleet, 40)
@@ -59,11 +57,10 @@
 
 
 def test_requests_are_served_while_the_table_is_down(fleet: Fleet) -> None:
-    """The platform's table is down for the whole test.
+    """Submit jobs and drain an agent while the platform's table is down.
 
-    Symptom: starts, answers or drains wait for the table.
-    Sequence: the table goes down, work goes on, an agent is drained.
-    Cause: the table on the path of every request.
+    If the table were needed for each request, starts, answers and drains would wait
+    for it.
     """
     start_desk(fleet, entries=2, agents=3)
     fleet.control_platform(down=True)
--- a/tests/failures/test_happy_path.py
+++ b/tests/failures/test_happy_path.py
@@ -1,4 +1,4 @@
-"""The whole path, without any failure."""
+"""Requests and jobs without any failure."""
 
 import pytest
 from standins.fleet import Fleet
@@ -13,9 +13,9 @@
     answer = send_request(fleet.entries[0], {"run_ms": 5, "nonce": "one"})
     assert answer.status_code == 200, answer.text
     assert answer.json()["nonce"] == "one"
-    whole = send_job(fleet.entries[1], make_job(50, run_ms=5))
-    assert whole.status_code == 200, whole.text
-    rows = whole.json()["answers"]
+    job_answer = send_job(fleet.entries[1], make_job(50, run_ms=5))
+    assert job_answer.status_code == 200, job_answer.text
+    rows = job_answer.json()["answers"]
     assert [row["body"]["nonce"] for row in rows] == [f"n{n}" for n in range(50)]
     starts = count_starts(fleet)
     assert len(starts) == 51
--- a/tests/failures/test_jobs.py
+++ b/tests/failures/test_jobs.py
@@ -29,11 +29,10 @@
 
 
 def test_killed_endpoint_fails_the_job(fleet: Fleet) -> None:
-    """An endpoint dies in the middle of a job.
+    """Kill an endpoint that runs tasks of a job.
 
-    Symptom: a partial answer, or none until the deadline.
-    Sequence: tasks of a job run at an endpoint that is killed.
-    Cause: a started task can't be started again.
+    Started tasks can't be started again, so the job must fail promptly: no partial
+    answer, and no wait until the deadline.
     """
     start_desk(fleet, agents=2)
     job = in_background(send_job, fleet.entries[0], make_job(60, run_ms=1000))
@@ -44,22 +43,22 @@
 
 @pytest.mark.parametrize("fault", ["short", "fail"])
 def test_one_failed_task_fails_the_job_at_once(fleet: Fleet, fault: str) -> None:
-    """One task's answer is cut short, or refused by the endpoint.
+    """Let the first task of a long job fail while others still wait.
 
-    Symptom: the caller gets the other answers, or waits for them in vain.
-    Sequence: the first task of a long job ends badly; the rest still wait.
-    Cause: a short read taken for an answer; a failure noticed at the end only.
+    The endpoint truncates the task's answer or answers with an error. If a truncated
+    answer counted as complete, or failures were noticed only at the end of the job, the
+    caller would receive the other answers or wait for them in vain.
     """
     start_desk(fleet, agents=1)
     job = make_job(100, run_ms=500)
     job["tasks"][0]["payload"] = {"run_ms": 10, fault: True}
-    began = time.monotonic()
+    started_at = time.monotonic()
     answer = send_job(fleet.entries[0], job)
-    took = time.monotonic() - began
+    elapsed_seconds = time.monotonic() - started_at
     _assert_failed(answer, "endpoint_failed")
     assert answer.json()["task"] == "t0"
-    # All hundred tasks would take 6 s; the job must not have waited for them.
-    assert took < 5
+    # All hundred tasks would take 6 s; the job must fail without waiting for them.
+    assert elapsed_seconds < 5
     started = len(count_starts(fleet))
     assert started <= 16
     status = fleet.status()
@@ -68,26 +67,26 @@
 
 
 def test_jobs_of_disconnected_callers_are_cancelled(fleet: Fleet) -> None:
-    """A wave of callers hangs up.
+    """Disconnect forty callers whose jobs wait for slots.
 
-    Symptom: endpoints run work that nobody waits for.
-    Sequence: forty jobs wait for slots, every caller closes its connection.
-    Cause: the entry doesn't notice, or cancels one by one at full cost.
+    If the entry didn't notice the closed connections, or cancelled the jobs one by one
+    at full cost, endpoints would run tasks that no caller waits for.
     """
     start_desk(fleet, agents=1, slots=4)
     url = f"{base_url(fleet.entries[0])}/v1/services/desk/jobs"
 
-    def hang_up() -> None:
+    def disconnect() -> None:
         with pytest.raises(httpx.TimeoutException):
             httpx.post(url, json=make_job(4, run_ms=8000), timeout=1.0)
 
-    callers = [in_background(hang_up) for _ in range(40)]
+    callers = [in_background(disconnect) for _ in range(40)]
     for caller in callers:
         caller.result(timeout=20)
     wait_for(lambda: fleet.status()["jobs"] == 0, "the jobs to be dropped", 10)
     entry = fleet.entries[0]
     assert read_counter(entry, "submissions_failed", "cancelled") == 40
-    # No slot frees before the last caller is gone, however slow the machine is.
+    # The run time ensures that no slot becomes free before the last caller has
+    # disconnected, even on a slow machine.
     assert len(count_starts(fleet)) <= 4
     endpoint = fleet.endpoints[0]
     wait_for(lambda: fleet.record(endpoint)["running"] == 0, "the runs to end", 20)
--- a/tests/failures/test_leaving.py
+++ b/tests/failures/test_leaving.py
@@ -1,4 +1,4 @@
-"""A leaving endpoint gets no new work; what runs there finishes."""
+"""A leaving endpoint starts no new tasks and completes the running ones."""
 
 import httpx
 import pytest
@@ -19,17 +19,20 @@
 pytestmark = pytest.mark.processes
 
 
-TASKS = 32
-"""Twice as many as the two endpoints run at once, so that work is waiting."""
+TASK_COUNT = 32
+"""Twice as many as the two endpoints run at once, so that tasks are waiting."""
 
 RUN_MS = 3000
-"""Run time of a task. That all slots are taken must last long enough to be seen from
-outside, and the agent that leaves must live until it has been asked twice: with 1500 ms
-it had ended, as it should, before the second question, once beside busy processes."""
+"""Run time of a task, in milliseconds.
 
+All slots must stay in use long enough to be observed, and the leaving agent must stay
+alive until the test has queried it twice. With 1500 ms, beside busy processes, the
+agent could exit, correctly, before the second query.
+"""
 
-def _leave(fleet: Fleet, way: str) -> None:
-    if way == "agent":
+
+def _stop_or_drain(fleet: Fleet, initiator: str) -> None:
+    if initiator == "agent":
         fleet.agents[0].stop()
     else:
         drained = fleet.operate("drain", fleet.agents[0].name)
@@ -43,25 +46,25 @@
 
 
 def _count_finished(fleet: Fleet, endpoint: Running) -> int:
-    written = fleet.record(endpoint)
-    assert written["running"] == 0
-    return written["finished"]
+    record = fleet.record(endpoint)
+    assert record["running"] == 0
+    return record["finished"]
 
 
-@pytest.mark.parametrize("way", ["agent", "operator"])
+@pytest.mark.parametrize("initiator", ["agent", "operator"])
 def test_leaving_agent_starts_nothing_new_and_finishes_its_tasks(
-    fleet: Fleet, way: str
+    fleet: Fleet, initiator: str
 ) -> None:
-    """An agent is stopped, or drained by an operator, in the middle of a job.
+    """Stop an agent, or drain it by an operator command, in the middle of a job.
 
-    Symptom: a request is cut, or work still starts there.
-    Sequence: tasks run at both endpoints, one of them leaves.
-    Cause: leaving known at the entry only, or an exit before the answers.
+    Tasks run at both endpoints. If only the entry knew that the agent leaves, tasks
+    would still start there; if the agent exited before its answers were sent, requests
+    would be cut off.
     """
     start_desk(fleet, agents=2)
-    job = in_background(send_job, fleet.entries[0], make_job(TASKS, run_ms=RUN_MS))
+    job = in_background(send_job, fleet.entries[0], make_job(TASK_COUNT, run_ms=RUN_MS))
     await_running(fleet, 16)
-    leaving = in_background(_leave, fleet, way)
+    leaving = in_background(_stop_or_drain, fleet, initiator)
     before = _count_starts_once_leaving(fleet)
     answer = job.result(timeout=30)
     assert answer.status_code == 200, answer.text
@@ -69,19 +72,19 @@
     assert after == before
     leaving.result(timeout=30)
     assert _count_finished(fleet, fleet.endpoints[0]) == after
-    if way == "agent":
+    if initiator == "agent":
         assert fleet.agents[0].process.wait(20) == 0
 
 
 def test_endpoint_that_unregisters_finishes_its_tasks(fleet: Fleet) -> None:
-    """An endpoint says that it leaves, and waits until nothing runs.
+    """Send SIGTERM to an endpoint that runs tasks.
 
-    Symptom: its exit cuts requests.
-    Sequence: SIGTERM to the endpoint while tasks run; it tells its agent.
-    Cause: an agent that goes on starting tasks, or doesn't say what runs.
+    The endpoint tells its agent that it leaves and exits once nothing runs. If the
+    agent kept starting tasks, or didn't report the running ones, the exit would cut
+    off requests.
     """
     start_desk(fleet, agents=2)
-    job = in_background(send_job, fleet.entries[0], make_job(TASKS, run_ms=RUN_MS))
+    job = in_background(send_job, fleet.entries[0], make_job(TASK_COUNT, run_ms=RUN_MS))
     await_running(fleet, 16)
     fleet.endpoints[0].stop()
     answer = job.result(timeout=30)
@@ -90,12 +93,11 @@
 
 
 def test_uninformed_entry_starts_nothing_on_a_leaving_endpoint(fleet: Fleet) -> None:
-    """An endpoint leaves while an entry is cut off from its agent.
+    """Let an endpoint leave while its agent can't reach an entry.
 
-    Symptom: the entry that never heard starts work on a leaving endpoint.
-    Sequence: the stream towards the entry falls silent, the endpoint leaves, the
-    entry, which believes it open, sends a start that arrives.
-    Cause: leaving enforced where it is believed instead of where tasks start.
+    The stream from the agent to the entry is frozen, so the entry doesn't learn that
+    the endpoint leaves and sends a start, which arrives. The agent itself must refuse
+    it: a check at the entry, with outdated information, would let the task start.
     """
     start_desk(fleet, agents=1, proxied=True)
     assert send_request(fleet.entries[0], {"run_ms": 1}).is_success
@@ -110,11 +112,10 @@
 
 
 def test_lease_of_a_killed_endpoint_expires(fleet: Fleet) -> None:
-    """An endpoint vanishes without a word.
+    """Kill an endpoint, so that it can't announce that it leaves.
 
-    Symptom: work is sent to it until somebody notices.
-    Sequence: the endpoint is killed; its renewals stop; its lease lapses.
-    Cause: an announcement that never expires.
+    It stops renewing its lease. If the lease didn't expire, tasks would be sent to the
+    endpoint until somebody noticed.
     """
     start_desk(fleet, agents=2)
     fleet.endpoints[0].kill()
--- a/tests/failures/test_refusals.py
+++ b/tests/failures/test_refusals.py
@@ -1,4 +1,4 @@
-"""A refusal that says "not run" is true, whatever its reason."""
+"""Work refused as "not run" has not run, whatever the reason."""
 
 import concurrent.futures
 import time
@@ -25,8 +25,11 @@
 pytestmark = pytest.mark.processes
 
 
-def _check_record(fleet: Fleet, answers: list[httpx.Response]) -> Counter[str]:
-    """Check every answer against what the endpoints wrote down."""
+def _check_refusals(fleet: Fleet, answers: list[httpx.Response]) -> Counter[str]:
+    """Assert that no job refused as "not run" was started.
+
+    :returns: the number of failed answers by problem type.
+    """
     started = {task.partition(":")[0] for task in count_starts(fleet)}
     reasons: Counter[str] = Counter()
     for answer in answers:
@@ -39,7 +42,7 @@
     return reasons
 
 
-def _apply(fleet: Fleet, folder: Path, old: str, new: str) -> None:
+def _apply_changed_document(fleet: Fleet, folder: Path, old: str, new: str) -> None:
     document = folder / "desk.toml"
     text = (DEMO / "desk.toml").read_text()
     assert old in text
@@ -54,26 +57,29 @@
 
 
 def test_quota_across_two_entries(fleet: Fleet, tmp_path: Path) -> None:
-    """A team submits more than its quota, through two entries.
+    """Exceed a team's quota through two entries.
 
-    Symptom: work refused for the quota ran, or each entry admits a whole quota.
-    Sequence: jobs go to both entries in turn until both refuse.
-    Cause: a quota that every entry counts for itself.
+    Jobs go to both entries in turn, more than the quota allows. If every entry counted
+    the quota on its own, each would admit the whole quota. Jobs refused for the quota
+    must not have run.
     """
     start_desk(fleet, entries=2, agents=1)
-    _apply(fleet, tmp_path, "starts_per_second = 2000", "starts_per_second = 1")
+    _apply_changed_document(
+        fleet, tmp_path, "starts_per_second = 2000", "starts_per_second = 1"
+    )
     for entry in fleet.entries:
         wait_for(partial(_has_revision, entry, 2), "the quota to be in force")
-    began = time.monotonic()
+    started_at = time.monotonic()
     answers = [
         send_job(fleet.entries[number % 2], make_job(10, run_ms=1))
         for number in range(20)
     ]
-    elapsed = time.monotonic() - began
-    reasons = _check_record(fleet, answers)
+    elapsed = time.monotonic() - started_at
+    reasons = _check_refusals(fleet, answers)
     assert reasons["quota_exceeded"] > 0
-    # At each entry five seconds of quota in hand and one job of debt; besides
-    # that no more than the quota, however long the machine took.
+    # Each entry may admit five seconds of saved quota and overdraw it by one job of
+    # ten tasks; beyond that, no more than one task per second is admitted. The
+    # elapsed time is measured, so the limit holds on a slow machine too.
     admitted = 10 * sum(answer.is_success for answer in answers)
     assert admitted <= 2 * (5 + 10) + elapsed
     refused = [answer for answer in answers if answer.status_code == 429]
@@ -82,15 +88,16 @@
 
 
 def test_jobs_refused_under_overload_have_not_run(fleet: Fleet, tmp_path: Path) -> None:
-    """Far more arrives than the slots or the queue allow.
+    """Submit far more jobs than the slots and the queue allow.
 
-    Symptom: a refused job did run in part.
-    Sequence: a hundred jobs arrive at once at four slots; some are refused at
-    once, some when their deadline can't be met, some by the team's quota.
-    Cause: a refusal that doesn't look at what has started.
+    A hundred jobs arrive at once at four slots. Some are refused on arrival, some once
+    their deadline can't be met, some by the team's quota. If a refusal didn't check
+    which tasks have started, a job refused as "not run" could have run in part.
     """
     start_desk(fleet, agents=1, slots=4)
-    _apply(fleet, tmp_path, "[class.billing]", "[class.billing]\nqueue_tasks = 60")
+    _apply_changed_document(
+        fleet, tmp_path, "[class.billing]", "[class.billing]\nqueue_tasks = 60"
+    )
 
     def call(number: int) -> httpx.Response:
         kind = ("billing", "size-change")[number % 2]
@@ -99,7 +106,7 @@
 
     with concurrent.futures.ThreadPoolExecutor(100) as pool:
         answers = list(pool.map(call, range(100)))
-    reasons = _check_record(fleet, answers)
+    reasons = _check_refusals(fleet, answers)
     assert reasons["queue_full"] + reasons["deadline_unreachable"] > 0
     assert all(
         "Retry-After" in answer.headers
@@ -110,11 +117,10 @@
 
 
 def test_loss_of_the_last_endpoint_is_reported(fleet: Fleet) -> None:
-    """The last endpoint leaves while work waits for it.
+    """Kill the only agent while one job runs and another one waits.
 
-    Symptom: callers wait until their deadline, or are told a guess.
-    Sequence: one agent runs a job, a second job waits, the agent is killed.
-    Cause: work kept for an endpoint that can't come back.
+    If the entry kept the work for an endpoint that can't come back, the callers would
+    wait until their deadlines. It must also not guess whether the running job ran.
     """
     start_desk(fleet, agents=1, slots=4)
     entry = fleet.entries[0]
@@ -123,7 +129,7 @@
     waiting = in_background(send_job, entry, make_job(4, run_ms=10))
     fleet.agents[0].kill()
     answers = [each.result(timeout=15) for each in (waiting, running)]
-    reasons = _check_record(fleet, answers)
+    reasons = _check_refusals(fleet, answers)
     assert reasons["no_endpoint"] == 1
     assert reasons["outcome_unknown"] == 1
     assert answers[1].json()["ran"] == "may_have_run"
@@ -133,11 +139,10 @@
 
 
 def test_entry_without_configuration_is_not_ready(fleet: Fleet) -> None:
-    """An entry boots alone while the table is down.
+    """Start a single entry while the table is down.
 
-    Symptom: it serves without a document.
-    Sequence: no table, no other entry, no agent.
-    Cause: "no document" taken for "no rules".
+    It has no table, peer or agent to read a document from. If a missing document were
+    treated as one without rules, the entry would serve requests.
     """
     fleet.control_platform(down=True)
     entry = fleet.start_entry(wait=False)
--- a/tests/failures/test_requests.py
+++ b/tests/failures/test_requests.py
@@ -19,22 +19,21 @@
 
 
 def test_concurrent_duplicates_at_two_entries_run_once(fleet: Fleet) -> None:
-    """The same request id reaches two entries at the same moment.
+    """Send the same request id to two entries at the same time.
 
-    Symptom: a teacher is charged twice.
-    Sequence: both entries admit the request and write a claim.
-    Cause: entries that don't know of each other's requests.
+    Both entries admit the request and write a claim. Without claims they wouldn't know
+    of each other's requests, and a teacher would be charged twice.
     """
     start_desk(fleet, entries=2, agents=2)
     for number in range(10):
         key = f"charge-{number}"
-        both = [
+        pending = [
             in_background(
                 send_request, entry, {"run_ms": 20, "nonce": key}, "renewal", key
             )
             for entry in fleet.entries
         ]
-        codes = sorted(each.result(timeout=20).status_code for each in both)
+        codes = sorted(each.result(timeout=20).status_code for each in pending)
         assert codes[0] == 200, codes
         assert codes[1] in (200, 409), codes
         _assert_ran(fleet, key, 1)
@@ -51,12 +50,10 @@
 
 
 def test_resubmission_after_the_entry_died(fleet: Fleet) -> None:
-    """The entry that holds a request dies; the caller tries another one.
+    """Kill the entry of a running request and submit the id to another entry.
 
-    Symptom: the renewal runs twice.
-    Sequence: the request runs, its entry is killed, the caller submits the same
-    id to the second entry while the first start still runs.
-    Cause: the second entry knows nothing of the first one's start.
+    The first start still runs. If the second entry didn't learn of it, the renewal
+    would run twice.
     """
     start_desk(fleet, entries=2, agents=2)
     payload = {"run_ms": 1500, "nonce": "mine"}
@@ -69,23 +66,22 @@
     assert running.json()["ran"] == "may_have_run"
     assert "Retry-After" in running.headers
     done = wait_for(
-        lambda: _collect(fleet, payload), "the first answer to be collected"
+        lambda: _fetch_orphan_answer(fleet, payload), "the first answer to be collected"
     )
     assert done.json()["nonce"] == "mine"
     _assert_ran(fleet, "orphan", 1)
 
 
-def _collect(fleet: Fleet, payload: dict):  # type: ignore[no-untyped-def]
+def _fetch_orphan_answer(fleet: Fleet, payload: dict):  # type: ignore[no-untyped-def]
     answer = send_request(fleet.entries[1], payload, "renewal", "orphan")
     return answer if answer.status_code == 200 else None
 
 
 def test_resubmission_after_the_agent_died(fleet: Fleet) -> None:
-    """The agent that started a request dies; the caller submits again.
+    """Kill the agent that started a request, then submit the request again.
 
-    Symptom: the charge runs at a second endpoint.
-    Sequence: the request runs, its agent is killed, its outcome is unknown.
-    Cause: the only memory of the start died with the agent.
+    The outcome is unknown, because the agent's record of the start is lost with it. If
+    the request were admitted again, the charge would run at a second endpoint.
     """
     start_desk(fleet, entries=1, agents=2)
     payload = {"run_ms": 1500, "nonce": "mine"}
@@ -104,12 +100,11 @@
 
 
 def test_request_refused_in_a_store_outage_can_be_retried(fleet: Fleet) -> None:
-    """The table is down when a charge arrives.
+    """Send a non-idempotent request while the table is down, then retry it.
 
-    Symptom: the charge runs unclaimed, or its id is burnt for ever.
-    Sequence: the table goes down, the request is refused, the table returns,
-    the caller comes back with the same id.
-    Cause: a claim that can't be written is skipped, or left half done.
+    The request must be refused, as its claim can't be written. If the claim were
+    skipped, the charge would run unclaimed; if it were left half written, the id could
+    never be used again.
     """
     start_desk(fleet, agents=1)
     fleet.control_platform(down=True)
@@ -122,24 +117,23 @@
     assert idempotent.status_code == 200
     fleet.control_platform(down=False)
     done = wait_for(
-        lambda: _try(fleet, payload, "outage"), "the same id to be accepted again"
+        lambda: _retry(fleet, payload, "outage"), "the same id to be accepted again"
     )
     assert done.json()["nonce"] == "mine"
     _assert_ran(fleet, "outage", 1)
 
 
-def _try(fleet: Fleet, payload: dict, key: str):  # type: ignore[no-untyped-def]
+def _retry(fleet: Fleet, payload: dict, key: str):  # type: ignore[no-untyped-def]
     answer = send_request(fleet.entries[0], payload, "renewal", key)
     assert answer.status_code in (200, 503), answer.text
     return answer if answer.status_code == 200 else None
 
 
 def test_committed_claim_with_a_lost_response_is_recognised(fleet: Fleet) -> None:
-    """The table commits a claim but its answer is lost.
+    """Lose the response to a claim that the table has committed.
 
-    Symptom: the caller is told "duplicate" for a request that never ran.
-    Sequence: the claim is written, the answer is lost, the entry writes again.
-    Cause: the entry's own claim looks like somebody else's.
+    The entry writes the claim again and finds it present. If it took its own claim for
+    another entry's, the caller would be told "duplicate" for a request that never ran.
     """
     start_desk(fleet, agents=1)
     fleet.control_platform(lose_answers=1)
--- a/tests/failures/test_starts.py
+++ b/tests/failures/test_starts.py
@@ -19,66 +19,62 @@
 pytestmark = pytest.mark.processes
 
 
-def _assert_once(fleet: Fleet) -> None:
-    twice = {task: n for task, n in count_starts(fleet).items() if n > 1}
-    assert not twice
+def _assert_started_once(fleet: Fleet) -> None:
+    repeated = {task: n for task, n in count_starts(fleet).items() if n > 1}
+    assert not repeated
 
 
 def test_waiting_tasks_of_a_killed_entry_never_start(fleet: Fleet) -> None:
-    """A caller submits again after its entry died.
+    """Kill an entry in the middle of a job and resubmit the job to another one.
 
-    Symptom: work of the first submission goes on beside the second.
-    Sequence: a job larger than the slots is under way, its entry is killed, the
-    job is submitted to another entry.
-    Cause: starts waiting at agents outlive the entry that sent them.
+    The job has more tasks than there are slots. If starts waiting at agents outlived
+    the entry that sent them, tasks of the first submission would run beside the second.
     """
     start_desk(fleet, entries=2, agents=1, slots=4)
     lost = in_background(send_job, fleet.entries[0], make_job(40, run_ms=150))
     await_running(fleet, 4)
     fleet.entries[0].kill()
-    at_death = len(count_starts(fleet))
+    started_before_kill = len(count_starts(fleet))
     again = send_job(fleet.entries[1], make_job(20, run_ms=20))
     assert again.status_code == 200, again.text
     second = again.json()["submission"]
     starts = count_starts(fleet)
     first = [task for task in starts if not task.startswith(second)]
-    # What was in flight at the death may still start: one start per slot.
-    assert len(first) <= at_death + 4
+    # Starts in transit when the entry was killed may still run: one per slot.
+    assert len(first) <= started_before_kill + 4
     assert lost.exception(timeout=20) is not None
-    _assert_once(fleet)
+    _assert_started_once(fleet)
 
 
-@pytest.mark.parametrize("way", ["to_target", "to_client", "both"])
+@pytest.mark.parametrize("direction", ["to_target", "to_client", "both"])
 def test_starts_on_a_frozen_stream_are_resolved_on_a_new_one(
-    fleet: Fleet, way: str
+    fleet: Fleet, direction: str
 ) -> None:
-    """A stream goes silent for good after starts were sent.
+    """Freeze a stream in one direction or both while tasks run.
 
-    Symptom: a task runs twice, or its caller waits until its deadline.
-    Sequence: tasks run, the stream is silenced in one direction or both, the
-    entry closes it by silence and asks on a new stream.
-    Cause: after a dead stream the entry doesn't know what started.
+    The entry closes the stream when its timeout expires and doesn't know which tasks
+    have started. If it didn't query this on a new stream, a task could run twice or its
+    caller wait until the deadline.
     """
     start_desk(fleet, agents=2, proxied=True)
     job = in_background(send_job, fleet.entries[0], make_job(60, run_ms=400))
     await_running(fleet, 16)
-    fleet.control(fleet.advertised(fleet.agents[0]), freeze=way)
+    fleet.control(fleet.advertised(fleet.agents[0]), freeze=direction)
     answer = job.result(timeout=30)
     assert answer.status_code == 200, answer.text
     nonces = [row["body"]["nonce"] for row in answer.json()["answers"]]
     assert nonces == [f"n{number}" for number in range(60)]
     assert read_counter(fleet.entries[0], "resolves_sent") > 0
-    _assert_once(fleet)
+    _assert_started_once(fleet)
 
 
 def test_resumed_agent_refuses_stale_starts_from_its_buffer(fleet: Fleet) -> None:
-    """An agent is frozen with starts in its socket buffer, and wakes.
+    """Pause an agent while starts are written to its stream, then resume it.
 
-    Symptom: a task given up long ago starts when the process continues.
-    Sequence: the agent is stopped, starts are written to its stream, every
-    timeout passes, the callers are told, the agent continues.
-    Cause: bytes in a socket buffer outlive all timeouts of their sender. Lease
-    and silence are long here, so that only the start's bound can refuse.
+    Bytes in a socket buffer outlive all timeouts of their sender: the callers have
+    already received an error when the agent reads the starts. It must refuse them by
+    their time limit. The endpoint's lease and the stream's timeout are 60 s here, so
+    that nothing else can cause the refusal.
     """
     start_desk(fleet, agents=0)
     fleet.start_endpoint(fleet.start_agent(silence=60.0), lease=60)
@@ -100,16 +96,14 @@
     assert read_counter(fleet.agents[0], "starts_refused", "stale") == 4
     started = count_starts(fleet)
     assert len(started) == len(before) + 1
-    _assert_once(fleet)
+    _assert_started_once(fleet)
 
 
 def test_restarted_agent_does_not_deny_starts_of_its_predecessor(fleet: Fleet) -> None:
-    """An agent is killed and started at once at the same address.
+    """Kill an agent that runs tasks and restart it at the same address.
 
-    Symptom: a task that ran is declared never started, and runs again.
-    Sequence: a task runs, its agent is killed and replaced at once, the entry
-    asks the new one.
-    Cause: the new process has no memory of what the old one started.
+    The entry queries the new process, which has no record of what the old one started.
+    If the new process reported such a task as not started, the task would run again.
     """
     start_desk(fleet, agents=2)
     jobs = [
@@ -123,39 +117,37 @@
     lost = [each for each in outcomes if each.status_code != 200]
     assert lost
     assert all(each.json()["ran"] == "may_have_run" for each in lost)
-    _assert_once(fleet)
+    _assert_started_once(fleet)
 
 
 def test_duplicated_frames_start_nothing_twice(fleet: Fleet) -> None:
-    """A stream delivers frames twice.
+    """Deliver stream data that contain starts twice.
 
-    Symptom: a task starts twice.
-    Sequence: the proxy repeats a piece of the stream that holds starts.
-    Cause: an agent that trusts every start it reads.
+    The proxy repeats part of the stream. If the agent accepted every start that it
+    reads, a task would start twice.
     """
     start_desk(fleet, agents=1, proxied=True)
     port = fleet.advertised(fleet.agents[0])
     for _ in range(10):
         fleet.control(port, repeat=True)
         send_job(fleet.entries[0], make_job(6, run_ms=5))
-    _assert_once(fleet)
+    _assert_started_once(fleet)
     assert count_starts(fleet)
 
 
 def test_lost_bytes_close_only_their_stream(fleet: Fleet) -> None:
-    """A piece of a stream is lost, so the rest is garbage.
+    """Drop bytes in the middle of a frame.
 
-    Symptom: a task runs with another task's payload, or all work stops.
-    Sequence: the proxy swallows bytes in the middle of a frame.
-    Cause: lengths and bodies no longer line up.
+    Frame lengths and bodies no longer match, so the rest of the stream is invalid. A
+    task must not run with another task's payload, and other streams must keep working.
     """
     start_desk(fleet, agents=2, proxied=True)
     port = fleet.advertised(fleet.agents[0])
     fleet.control(port, drop=7)
-    began = time.monotonic()
+    started_at = time.monotonic()
     answer = send_job(fleet.entries[0], make_job(40, run_ms=50))
     assert answer.status_code == 200, answer.text
     nonces = [row["body"]["nonce"] for row in answer.json()["answers"]]
     assert nonces == [f"n{number}" for number in range(40)]
-    assert time.monotonic() - began < 20
-    _assert_once(fleet)
+    assert time.monotonic() - started_at < 20
+    _assert_started_once(fleet)
--- a/tests/failures/test_stopping.py
+++ b/tests/failures/test_stopping.py
@@ -1,4 +1,4 @@
-"""Every planned stop is graceful: no request is cut, none refused in vain."""
+"""Planned stops are graceful: no request is cut off or needlessly refused."""
 
 import ssl
 import threading
@@ -13,12 +13,16 @@
 pytestmark = pytest.mark.processes
 
 UNUSED_TLS = ssl.create_default_context()
-"""Made once: a client makes one a call otherwise, which loads all certificate
-authorities and took 2.3 cores, more than all processes under test."""
+"""TLS context shared by all calls. By default, each httpx call makes one and loads all
+certificate authorities, which took 2.3 cores, more than all processes under test."""
 
 
 class LoadGenerator:
-    """Callers that send requests through the balancer until told to stop."""
+    """Callers that send requests through the balancer until stopped.
+
+    :ivar failures: text of each failed request.
+    :ivar answered: number of successful requests.
+    """
 
     def __init__(self, fleet: Fleet, callers: int = 12) -> None:
         self.failures: list[str] = []
@@ -58,13 +62,11 @@
 
 
 def test_rolling_restart_fails_no_request(fleet: Fleet) -> None:
-    """The whole fleet is replaced, one process after the other, under load.
+    """Replace all processes of the fleet, one after the other, under load.
 
-    Symptom: a clerk sees an error during a rollout.
-    Sequence: each entry is replaced by a new one, then each agent, while
-    callers send requests through the balancer.
-    Cause: a process that exits before its requests, or refuses what another
-    could have taken.
+    Callers send requests through the balancer during the rollout. A process that exited
+    before its requests ended, or refused what another process could have served, would
+    make a clerk see an error.
     """
     start_desk(fleet, entries=2, agents=3)
     load = LoadGenerator(fleet)
@@ -84,7 +86,7 @@
         fleet.balance()
         old = fleet.entries[0]
         old.stop()
-        # The balancer notices by the entry's own word, a little late.
+        # The entry reports itself unready, which a balancer notices with a delay.
         wait_for(partial(_is_unready, old), "it to be unready")
         fleet.entries.remove(old)
         fleet.balance()
@@ -98,6 +100,6 @@
 
 
 def wait_for_answers(load: LoadGenerator) -> None:
-    """Wait until callers are answered by what replaced the old processes."""
+    """Wait until the new processes have answered some requests."""
     answered = load.answered
     wait_for(lambda: load.answered >= answered + 20, "answers after the rollout")
