--- a/tests/failures/test_answers.py
+++ b/tests/failures/test_answers.py
@@ -12,7 +12,7 @@
 
 
 def test_hundreds_of_callers_each_get_their_own_answer(fleet: Fleet) -> None:
-    """Send requests of hundreds of concurrent callers.
+    """Send hundreds of requests from concurrent callers.
 
     Answers arrive in a different order than their requests were sent. If they were
     matched by order instead of by task, a caller would receive another's answer.
