--- a/tests/failures/test_bad_input.py
+++ b/tests/failures/test_bad_input.py
@@ -89,7 +89,9 @@
         b"\x00\x00\x00\x02\xc1\xc1",
         b"\x00\x00\x00\x7f\x01",
     ):
-        with socket.create_connection(("127.0.0.1", agent.stream_port), 5) as connection:
+        with socket.create_connection(
+            ("127.0.0.1", agent.stream_port), 5
+        ) as connection:
             connection.sendall(data)
             connection.settimeout(10)
             while connection.recv(4096):
--- a/tests/failures/test_configuration.py
+++ b/tests/failures/test_configuration.py
@@ -104,7 +104,9 @@
     """
     start_desk(fleet, agents=1)
     fleet.control_platform(lose_answers=1)
-    applied = fleet.run_operator_command("apply", _write_document(tmp_path, 5), "--revision=1")
+    applied = fleet.run_operator_command(
+        "apply", _write_document(tmp_path, 5), "--revision=1"
+    )
     assert applied.returncode == 0, applied.stderr
     assert "revision 2" in applied.stdout
     wait = fleet.run_operator_command(
@@ -121,7 +123,9 @@
     durations = []
     for number in range(5):
         started_at = time.monotonic()
-        applied = fleet.run_operator_command("apply", _write_document(tmp_path, number + 2))
+        applied = fleet.run_operator_command(
+            "apply", _write_document(tmp_path, number + 2)
+        )
         assert applied.returncode == 0, applied.stderr
         for entry in range(3):
             wait = fleet.run_operator_command(
