--- a/bench/lab/simulation.py
+++ b/bench/lab/simulation.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from standins.leased_endpoint import Behaviour, FakeEndpoint
-from tests.lib.runs_world import RunsWorld
+from tests.lib.run_cluster import RunCluster
 
 from bench.lab.bound import SLOT_SECONDS, DivisibleJob, compute_worth_bound
 from bench.lab.scenario import Demand, Fault, Scenario
@@ -94,7 +94,7 @@
         self._fault_rng = Random(f"faults {seed}")
         self._entry_rng = Random(f"entries {seed}")
         queues = tuple(self._make_queue_rules(each) for each in scenario.demands)
-        self.world = RunsWorld(seed, Configuration(1, queues, 10**6), policy)
+        self.world = RunCluster(seed, Configuration(1, queues, 10**6), policy)
         self.world.checking = False
         self._entries = [f"entry-{number}" for number in range(scenario.entries)]
         self._agents = [f"agent-{number}" for number in range(scenario.endpoints)]
@@ -255,7 +255,7 @@
             return
         entry, caller = self._connections[name]
         if not self.world.results[name] and not self._is_down(entry):
-            self.world.hang_up(entry, caller)
+            self.world.disconnect_caller(entry, caller)
 
     def _resubmit_jobs(self, entry: str) -> None:
         """Submit the unanswered jobs of a stopped entry to other entries."""
@@ -312,7 +312,7 @@
                 self.world.after(fault.seconds, partial(self.world.leave, name))
 
     def _restart_endpoint(self, name: str) -> None:
-        self.world.boot_endpoint(name, self._capacities[name])
+        self.world.start_endpoint(name, self._capacities[name])
         self._set_behaviour(name, Behaviour(speed=self._get_speed(name)))
 
     def _delay_orders(self, fault: Fault) -> None:
@@ -322,15 +322,17 @@
         def draw_delay(order: object) -> float | None:
             return rng.uniform(2.0, 12.0) if rng.random() < fault.factor else None
 
-        self.world.lose_start = draw_delay
+        self.world.start_loss_delay = draw_delay
         self.world.after(fault.seconds, self._end_delays)
 
     def _end_delays(self) -> None:
-        self.world.lose_start = lambda order: None
+        self.world.start_loss_delay = lambda order: None
 
     def _stop_entries(self, fault: Fault) -> None:
         for name in self._choose_targets(self._entries, fault.targets):
-            stop = self.world.kill if fault.kind == "kill_entry" else self.world.darken
+            stop = (
+                self.world.kill if fault.kind == "kill_entry" else self.world.power_off
+            )
             stop(name)
             self._down_entries.add(name)
             self._resubmit_jobs(name)
@@ -352,7 +354,7 @@
     def _power_off_all(self, fault: Fault) -> None:
         for name in [*self._entries, *self._agents]:
             if not self._is_down(name):
-                self.world.darken(name)
+                self.world.power_off(name)
         for name in self._entries:
             self._down_entries.add(name)
             self._resubmit_jobs(name)
@@ -434,7 +436,7 @@
         """Find the share of its worth that a job earned, by its first result."""
         response_times = [
             at - job.submitted_at
-            for result, at in self.world.results_at.get(name, ())
+            for result, at in self.world.timed_results.get(name, ())
             if result.end == "completed"
         ]
         response_seconds = min(response_times, default=math.inf)
--- a/tests/core/runs/test_admission.py
+++ b/tests/core/runs/test_admission.py
@@ -2,7 +2,7 @@
 
 from godwitbank._internal.core.runs.admission import MAX_DRAIN_SECONDS, Admission
 from godwitbank._internal.core.runs.jobs import Job
-from tests.lib.runs_world import QUEUE, make_job
+from tests.lib.run_cluster import QUEUE, make_job
 
 NOW = 100.0
 CORES = 100.0
--- a/tests/core/runs/test_behind.py
+++ b/tests/core/runs/test_behind.py
@@ -22,15 +22,15 @@
 
 from godwitbank._internal.core.runs.events import LagMeasured
 from godwitbank._internal.models.resources import Resources
-from tests.lib.runs_processor import BusyProcess, Callers
-from tests.lib.runs_world import RunsWorld, make_job
+from tests.lib.busy_process import BusyProcess, Callers
+from tests.lib.run_cluster import RunCluster, make_job
 
 SMALL_ENTRY_CORES, LARGE_ENTRY_CORES = 0.25, 2.0
 """Cores of a small and of a large entry."""
 
 CAPACITY_JOBS_PER_SECOND = 93.0
 """Jobs of two tasks that a small entry can handle per second. One takes 2.7 ms of
-processor time by the costs in ``runs_processor``, reports of free capacity included."""
+processor time by the costs in ``busy_process``, reports of free capacity included."""
 
 TIMEOUT_SECONDS = 1.5
 OBJECTIVE_SECONDS = 0.3
@@ -46,7 +46,7 @@
     """Entries with little processor time, and endpoints with ample capacity."""
 
     def __init__(self, shares: list[float]) -> None:
-        self.world = RunsWorld(seed=3)
+        self.world = RunCluster(seed=3)
         self.world.checking = False
         self.entries = [f"entry-{number}" for number in range(len(shares))]
         for name, share in zip(self.entries, shares, strict=True):
@@ -67,7 +67,7 @@
             self.world.run(self._rng.expovariate(per_second))
             self._number += 1
             spec = make_job(f"job{self._number}", width=2, seconds=0.15, cpu=1000)
-            self.callers.ask(self._rng.choice(entries), spec)
+            self.callers.submit(self._rng.choice(entries), spec)
 
     def wait_for_answers(self) -> None:
         """Run until every caller was answered or has timed out."""
@@ -75,22 +75,26 @@
 
     def measure_unanswered_share(self) -> float:
         """Return the share of callers without an answer within their timeout."""
-        times = [self.callers.measure(asked) for asked in self.callers.asked]
+        times = [
+            self.callers.find_answer_seconds(asked) for asked in self.callers.submitted
+        ]
         late = [time for time in times if time is None or time > TIMEOUT_SECONDS]
         return len(late) / len(times)
 
     def measure_done_share(self, since: float = 0.0) -> float:
         """Return the share of jobs submitted since a time that were done in time."""
-        asked = [each for each in self.callers.asked if each.at >= since]
-        done = [each for each in asked if self.callers.is_done(each, OBJECTIVE_SECONDS)]
+        asked = [each for each in self.callers.submitted if each.submitted_at >= since]
+        done = [
+            each for each in asked if self.callers.is_completed(each, OBJECTIVE_SECONDS)
+        ]
         return len(done) / len(asked)
 
     def measure_prompt_refusal_share(self) -> float:
         """Return the share of refusals that came promptly, or 1 if there were none."""
         times = [
-            self.callers.measure(asked) or 0.0
-            for asked in self.callers.asked
-            if "refused" in self.world.get_ends(asked.spec.job)[:1]
+            self.callers.find_answer_seconds(asked) or 0.0
+            for asked in self.callers.submitted
+            if "refused" in self.world.list_ends(asked.spec.job)[:1]
         ]
         prompt = [time for time in times if time <= PROMPT_SECONDS]
         return len(prompt) / len(times) if times else 1.0
@@ -140,19 +144,19 @@
     # acted on orders a quarter of a second late. Their endpoints were as fast as others
     # and had the most free capacity, as little was started there, so entries that only
     # considered speed and capacity preferred them.
-    world = RunsWorld(seed=4)
+    world = RunCluster(seed=4)
     world.add_entry("entry-0")
     for number in range(4):
         world.add_agent(f"agent-{number}", Resources(64000, 10**6, 0))
     world.run(3.0)
     lagging = world.processes["agent-0"]
     for _ in range(40):
-        lagging.give(LagMeasured(0.25))
+        lagging.deliver_event(LagMeasured(0.25))
         world.run(0.05)
     for number in range(20):
         world.submit("entry-0", make_job(f"job{number}", width=2, seconds=0.15))
         world.run(0.1)
-    sent = [note for _, _, note in world.notes if note.event == "run_sent"]
+    sent = [note for _, _, note in world.log_decisions if note.event == "run_sent"]
     sent_to_lagging = [note for note in sent if note.fields["agent"] == "agent-0"]
     assert len(sent) == 40
     assert len(sent_to_lagging) == 0
--- a/tests/core/runs/test_delays.py
+++ b/tests/core/runs/test_delays.py
@@ -5,7 +5,7 @@
 from godwitbank._internal.core.runs.lease import LAPSE_SECONDS
 from godwitbank._internal.core.runs.links import Link
 from godwitbank._internal.models.messages import Hello, Role
-from tests.lib.runs_world import QUEUE, make_job
+from tests.lib.run_cluster import QUEUE, make_job
 
 NOW = 100.0
 STREAMS = (1, 2)
--- a/tests/core/runs/test_deployment.py
+++ b/tests/core/runs/test_deployment.py
@@ -8,14 +8,14 @@
     Deployment,
 )
 from godwitbank._internal.core.runs.lease import EndpointClock
-from tests.lib.runs_world import RunsWorld, make_job
+from tests.lib.run_cluster import RunCluster, make_job
 
 NOW = 100.0
 
 
-def make_world(deployment: Deployment) -> RunsWorld:
+def make_world(deployment: Deployment) -> RunCluster:
     """Make a small world with the values of a deployment."""
-    world = RunsWorld(deployment=deployment)
+    world = RunCluster(deployment=deployment)
     for number in range(2):
         world.add_entry(f"entry-{number}")
         world.add_agent(f"agent-{number}")
@@ -46,7 +46,7 @@
 
 
 def test_jobs_wait_for_endpoints_with_a_long_report_interval() -> None:
-    world = RunsWorld(
+    world = RunCluster(
         deployment=DEFAULT_DEPLOYMENT._replace(report_interval_seconds=3.0)
     )
     world.add_entry("entry-0")
@@ -54,11 +54,11 @@
     world.run(1.2)
     world.kill("agent-0")
     world.add_agent("agent-0")
-    world.kept.clear()
+    world.stored_reports.clear()
     world.run(0.1)
     world.submit("entry-0", make_job("j1", seconds=8.0))
     world.run(12.0)
-    assert world.get_ends("j1") == ["completed"]
+    assert world.list_ends("j1") == ["completed"]
 
 
 @pytest.mark.parametrize("longest", [0.5, 2.0])
@@ -66,4 +66,4 @@
     world = make_world(DEFAULT_DEPLOYMENT._replace(max_lease_seconds=longest))
     world.submit("entry-0", make_job("j1", width=4, seconds=5.0))
     world.run(6.0)
-    assert world.get_ends("j1") == ["completed"]
+    assert world.list_ends("j1") == ["completed"]
--- a/tests/core/runs/test_entry.py
+++ b/tests/core/runs/test_entry.py
@@ -3,7 +3,7 @@
 from godwitbank._internal.core.runs.events import ConfigurationRead
 from godwitbank._internal.models.jobs import Configuration
 from tests.core.runs.test_happy_path import make_world
-from tests.lib.runs_world import QUEUE, make_job
+from tests.lib.run_cluster import QUEUE, make_job
 
 
 def test_stopping_entry_finishes_accepted_jobs() -> None:
@@ -12,8 +12,8 @@
     world.run(0.1)
     world.stop("entry-0")
     world.run(4.0)
-    assert world.get_ends("j1") == ["completed"]
-    assert "entry-0" in world.quiet
+    assert world.list_ends("j1") == ["completed"]
+    assert "entry-0" in world.shut_down
 
 
 def test_stopping_entry_refuses_jobs_that_it_cannot_finish() -> None:
@@ -28,8 +28,8 @@
     world.submit("entry-0", make_job("short", seconds=0.3))
     world.submit("entry-0", make_job("long", seconds=2.0))
     world.run(2.0)
-    assert world.get_ends("short") == ["completed"]
-    assert world.get_ends("long") == ["refused"]
+    assert world.list_ends("short") == ["completed"]
+    assert world.list_ends("long") == ["refused"]
     assert not world.results["long"][0].ran
 
 
@@ -40,11 +40,11 @@
     world.run(0.1)
     world.stop("entry-0")
     world.run(6.0)
-    assert world.get_ends("slow") == ["given_up"]
-    assert "entry-0" in world.quiet
+    assert world.list_ends("slow") == ["given_up"]
+    assert "entry-0" in world.shut_down
     world.submit("entry-0", make_job("after", seconds=0.1))
     world.run(0.1)
-    assert world.get_ends("after") == ["refused"]
+    assert world.list_ends("after") == ["refused"]
 
 
 def test_configuration_reaches_entries_that_cannot_read_the_store() -> None:
@@ -52,7 +52,7 @@
     # another entry only. Entries must also send the configuration to each other.
     world = make_world()
     newer = Configuration(7, (QUEUE._replace(prefix="/new/"),), 10**6)
-    world.processes["entry-0"].give(ConfigurationRead(newer))
+    world.processes["entry-0"].deliver_event(ConfigurationRead(newer))
     world.run(0.05)
     core = world.processes["entry-1"].core
     assert core.routes.version == 7
@@ -67,7 +67,7 @@
     core = world.processes["entry-0"].core
     newer = Configuration(7, (QUEUE,), 10**6)
     for configuration in (newer, newer._replace(version=6)):
-        world.processes["entry-0"].give(ConfigurationRead(configuration))
+        world.processes["entry-0"].deliver_event(ConfigurationRead(configuration))
     assert core.routes.version == 7
 
 
@@ -83,7 +83,7 @@
     core = world.processes["entry-0"].core
     inner = QUEUE._replace(name="inner", prefix="/checks/inner/")
     configuration = Configuration(9, (QUEUE, inner), 10**6)
-    world.processes["entry-0"].give(ConfigurationRead(configuration))
+    world.processes["entry-0"].deliver_event(ConfigurationRead(configuration))
     assert core.find_queue("desk", "/checks/inner/1").name == "inner"
     assert core.find_queue("desk", "/checks/1").name == "checks"
     assert core.find_queue("other", "/checks/1") is None
--- a/tests/core/runs/test_evacuation.py
+++ b/tests/core/runs/test_evacuation.py
@@ -8,15 +8,15 @@
 from godwitbank._internal.models.jobs import Evacuation
 from godwitbank._internal.models.run_messages import Evacuated
 from tests.core.runs.test_happy_path import SETTLE_SECONDS
-from tests.lib.runs_world import RunsWorld, make_job
+from tests.lib.run_cluster import RunCluster, make_job
 
 PROPAGATION_SECONDS = 0.05
 """Seconds within which all processes know of a change when there are no faults."""
 
 
-def make_zoned_world(zones: int = 2, entries: int = 2, agents: int = 2) -> RunsWorld:
+def make_zoned_world(zones: int = 2, entries: int = 2, agents: int = 2) -> RunCluster:
     """Make a world with several entries and agents in each zone."""
-    world = RunsWorld()
+    world = RunCluster()
     for zone in range(1, zones + 1):
         for number in range(entries):
             world.add_entry(f"entry-{zone}{number}", zone=f"zone-{zone}")
@@ -26,7 +26,7 @@
     return world
 
 
-def list_starts(world: RunsWorld, zone: str, since: float) -> list[str]:
+def list_starts(world: RunCluster, zone: str, since: float) -> list[str]:
     """List the tasks started in a zone at or after a given time."""
     return [
         task
@@ -38,7 +38,7 @@
 
 
 def submit_jobs(
-    world: RunsWorld, seconds: float, prefix: str, entry: str = ""
+    world: RunCluster, seconds: float, prefix: str, entry: str = ""
 ) -> list[str]:
     """Submit short jobs to all entries, or to one, for some seconds."""
     entries = [each for each in world.processes if "entry" in each]
@@ -54,9 +54,9 @@
     return names
 
 
-def count_ends(world: RunsWorld, jobs: list[str], end: str) -> int:
+def count_ends(world: RunCluster, jobs: list[str], end: str) -> int:
     """Count the jobs whose only result is the given end."""
-    return sum(world.get_ends(job) == [end] for job in jobs)
+    return sum(world.list_ends(job) == [end] for job in jobs)
 
 
 def test_no_run_starts_in_an_evacuated_zone() -> None:
@@ -78,7 +78,7 @@
     world.run(0.5)
     world.evacuate("zone-1")
     world.run(2.0)
-    assert world.get_ends("long") == ["completed"]
+    assert world.list_ends("long") == ["completed"]
 
 
 def test_parked_runs_in_an_evacuated_zone_are_placed_elsewhere() -> None:
@@ -88,7 +88,7 @@
     world.run(0.2)
     world.evacuate("zone-1")
     world.run(4.0)
-    assert [world.get_ends(f"long{number}") for number in range(2)] == [
+    assert [world.list_ends(f"long{number}") for number in range(2)] == [
         ["completed"],
         ["completed"],
     ]
@@ -113,7 +113,7 @@
     world.run(0.1)
     world.evacuate("zone-1")
     world.run(PROPAGATION_SECONDS)
-    ends = [world.get_ends(f"j{number}") for number in range(4)]
+    ends = [world.list_ends(f"j{number}") for number in range(4)]
     assert ends[0] == []
     assert ends[1:] == [["refused"]] * 3
 
@@ -122,7 +122,7 @@
     world = make_zoned_world()
     world.evacuate("zone-1")
     submit_jobs(world, 0.5, "during")
-    world.take_back("zone-1")
+    world.end_evacuation("zone-1")
     since = world.now
     submit_jobs(world, 0.5, "after")
     assert list_starts(world, "zone-1", since)
@@ -136,7 +136,7 @@
         if endpoint is not None and world.zones[name] == "zone-1":
             endpoint.cold_until = world.now + 4.0
     world.run(2.0)
-    world.take_back("zone-1")
+    world.end_evacuation("zone-1")
     since = world.now
     submit_jobs(world, 0.5, "few")
     assert not list_starts(world, "zone-1", since)
@@ -155,7 +155,7 @@
         view.slowness = 3.0
     world.evacuate("zone-1")
     world.run(1.0)
-    world.take_back("zone-1")
+    world.end_evacuation("zone-1")
     world.run(PROPAGATION_SECONDS)
     for view in core.dispatcher.fleet.views.values():
         assert (view.slowdown_factor == 1.0) == (view.zone == "zone-1")
@@ -164,7 +164,7 @@
 def test_agent_refuses_orders_of_an_entry_with_outdated_state() -> None:
     world = make_zoned_world(entries=1)
     entry = world.processes["entry-20"]
-    world.store_away.add("entry-20")
+    world.without_store.add("entry-20")
     world.cut_link("entry-10", "entry-20")
     world.evacuate("zone-1")
     world.run(PROPAGATION_SECONDS)
@@ -194,7 +194,7 @@
 
 def test_order_carried_out_late_starts_no_run_in_an_evacuated_zone() -> None:
     world = make_zoned_world(entries=1, agents=1)
-    world.lose_start = lambda order: 3.0
+    world.start_loss_delay = lambda order: 3.0
     world.submit("entry-10", make_job("j1", width=8, seconds=0.2))
     world.run(0.05)
     world.evacuate("zone-1")
@@ -206,7 +206,7 @@
 
 def test_entry_without_the_store_learns_of_an_evacuation_from_a_peer() -> None:
     world = make_zoned_world()
-    world.store_away.add("entry-20")
+    world.without_store.add("entry-20")
     world.evacuate("zone-1")
     world.run(PROPAGATION_SECONDS)
     assert world.processes["entry-20"].core.evacuations.covers("zone-1")
@@ -219,7 +219,7 @@
     since = world.now
     world.kill("entry-20")
     world.kill("agent-10")
-    world.store_away.add("entry-20")
+    world.without_store.add("entry-20")
     world.add_entry("entry-20")
     world.add_agent("agent-10")
     submit_jobs(world, 2.0, "j")
@@ -243,7 +243,7 @@
     entry = world.processes["entry-10"]
     world.evacuate("zone-1")
     world.run(PROPAGATION_SECONDS)
-    world.take_back("zone-1")
+    world.end_evacuation("zone-1")
     world.run(PROPAGATION_SECONDS)
     stream = entry.core.links.list_peers()[0].stream
     actions = entry.core.handle(Received(stream, Evacuated(["zone-1"], 2)), world.now)
@@ -260,7 +260,7 @@
     world = make_zoned_world()
     world.evacuate("zone-1")
     world.run(pause)
-    world.take_back("zone-1")
+    world.end_evacuation("zone-1")
     world.run(pause)
     world.evacuate("zone-1")
     world.run(PROPAGATION_SECONDS)
@@ -286,7 +286,7 @@
     world.evacuate("zone-1")
     world.run(0.5)
     for name in ("entry-10", "entry-11", "agent-10", "agent-11"):
-        world.darken(name)
+        world.power_off(name)
     world.endpoints["agent-10"] = world.endpoints["agent-11"] = None
     world.run(1.5)
     since = world.now
@@ -299,7 +299,7 @@
 
 
 def test_entry_without_free_capacity_in_an_evacuated_zone_forwards_jobs() -> None:
-    world = RunsWorld(entries_per_agent=1)
+    world = RunCluster(entries_per_agent=1)
     for zone in (1, 2):
         world.add_entry(f"entry-{zone}", zone=f"zone-{zone}")
     for number in range(16):
--- a/tests/core/runs/test_evacuation_exploration.py
+++ b/tests/core/runs/test_evacuation_exploration.py
@@ -47,7 +47,7 @@
         """Take a zone back; its endpoints may be cold."""
         zone = self._pick_zone()
         self._make_cold(zone)
-        self.world.take_back(zone)
+        self.world.end_evacuation(zone)
 
     def _make_cold(self, zone: str) -> None:
         until = self.world.now + self.rng.choice((0.0, 1.0, 4.0))
@@ -59,23 +59,23 @@
     def lose_store(self) -> None:
         """Make the store unavailable to an entry for some time."""
         name = self.rng.choice(self.entries)
-        self.world.store_away.add(name)
+        self.world.without_store.add(name)
         self.world.after(self.rng.choice((0.5, 2.0, 4.0)), self._restore_store)
 
     def _restore_store(self) -> None:
-        self.world.store_away.clear()
-        self.world.tell_evacuation()
+        self.world.without_store.clear()
+        self.world.announce_evacuation()
 
     def _start_entry(self, name: str) -> None:
-        if len(self.world.store_away) == len(self.entries):
-            self.world.store_away.clear()
+        if len(self.world.without_store) == len(self.entries):
+            self.world.without_store.clear()
         super()._start_entry(name)
 
     def end_faults(self) -> None:
         """End all faults and evacuations."""
         self._restore_store()
-        for zone in list(self.world.evacuated):
-            self.world.take_back(zone)
+        for zone in list(self.world.evacuated_since):
+            self.world.end_evacuation(zone)
         super().end_faults()
 
 
@@ -96,7 +96,9 @@
     for seed in SEEDS[:10]:
         explorer = EvacuationExplorer(seed)
         explore(explorer)
-        notes = [note for _, name, note in explorer.world.notes if "agent" in name]
+        notes = [
+            note for _, name, note in explorer.world.log_decisions if "agent" in name
+        ]
         fields_seen += [note.fields for note in notes if note.event == "evacuation"]
     assert sum(bool(fields["evacuated"]) for fields in fields_seen) >= 2 * 10
     assert sum(not fields["evacuated"] for fields in fields_seen) >= 2 * 10
--- a/tests/core/runs/test_exploration.py
+++ b/tests/core/runs/test_exploration.py
@@ -15,7 +15,7 @@
 
 from godwitbank._internal.core.runs.deployment import DEFAULT_DEPLOYMENT, Deployment
 from godwitbank._internal.core.runs.events import AddressesRead, LagMeasured
-from tests.lib.runs_world import Process, RunsWorld, make_job
+from tests.lib.run_cluster import Process, RunCluster, make_job
 
 REGRESSION_SEEDS_IMPATIENT = (
     # An entry that started or reconnected while a job was in flight elsewhere did not
@@ -138,7 +138,7 @@
         self.rng = Random(seed)
         self.entries = size.entries
         self.agents = size.agents
-        self.world = RunsWorld(
+        self.world = RunCluster(
             seed, entries_per_agent=size.entries_per_agent, deployment=deployment
         )
         self.submitted = 0
@@ -150,8 +150,8 @@
         for name in self.agents:
             self._start_agent(name)
         self.world.run(0.5)
-        self.world.lose_start = self._lose_start
-        self.world.lose_hold = lambda agent: self.rng.random() < self.loss
+        self.world.start_loss_delay = self._lose_start
+        self.world.loses_renewal = lambda agent: self.rng.random() < self.loss
         self.loss = 0.0
 
     def _lose_start(self, order: object) -> float | None:
@@ -185,7 +185,7 @@
             name
             for name in names
             if not self.world.processes[name].dead
-            and not self.world.processes[name].frozen
+            and not self.world.processes[name].suspended
         ]
         return self.rng.choice(running) if running else None
 
@@ -220,7 +220,7 @@
         if jobs:
             job = self.rng.choice(jobs)
             if job.callers and self.rng.random() < 0.5:
-                self.world.hang_up(name, job.callers[0])
+                self.world.disconnect_caller(name, job.callers[0])
             self._schedule_resubmit(job.spec.job)
 
     def _schedule_resubmit(self, name: str) -> None:
@@ -244,7 +244,7 @@
         process = self.world.add_agent(name)
         if len(self.entries) > self.world.entries_per_agent:
             # Settings list all entries, whether they are alive or not.
-            process.give(AddressesRead(self.entries))
+            process.deliver_event(AddressesRead(self.entries))
 
     def kill_entry(self) -> None:
         """Kill an entry and start it again."""
@@ -260,7 +260,7 @@
         """Cut an entry's power and start it again later."""
         name = self._pick_running(self.entries)
         if name is not None:
-            self.world.darken(name)
+            self.world.power_off(name)
             self.world.after(3.0, lambda: self._start_entry(name))
 
     def stop_entry(self) -> None:
@@ -283,20 +283,20 @@
         """Suspend a process for a while."""
         name = self._pick_running(self.entries + self.agents)
         if name is not None:
-            self.world.freeze(name)
+            self.world.suspend(name)
             process = self.world.processes[name]
             seconds = self.rng.choice((0.3, 0.9, 2.0, 4.0))
             self.world.after(seconds, lambda: self._resume(name, process))
 
     def _resume(self, name: str, process: object) -> None:
         if self.world.processes[name] is process:
-            self.world.thaw(name)
+            self.world.resume(name)
 
     def cut(self) -> None:
         """Cut the network link between two processes for a while."""
         first, second = self.rng.sample(self.entries + self.agents, 2)
         self.world.cut_link(first, second)
-        self.world.after(self.rng.choice((0.4, 2.0, 4.0)), self.world.heal)
+        self.world.after(self.rng.choice((0.4, 2.0, 4.0)), self.world.restore_links)
 
     def crash_endpoint(self) -> None:
         """Crash an endpoint; it boots again later."""
@@ -308,7 +308,7 @@
 
     def _boot_endpoint(self, name: str) -> None:
         if self.world.endpoints[name] is None:
-            self.world.boot_endpoint(name)
+            self.world.start_endpoint(name)
 
     def degrade_endpoint(self) -> None:
         """Make an endpoint fail, hang, slow or unhealthy for a while."""
@@ -335,11 +335,11 @@
         """End all faults."""
         self.loss = 0.0
         self.world.run(8.0)
-        self.world.heal()
+        self.world.restore_links()
         for name in self.entries + self.agents:
             process = self.world.processes[name]
-            if process.frozen:
-                self.world.thaw(name)
+            if process.suspended:
+                self.world.resume(name)
             if process.dead or process.core.stopping:
                 if not process.dead:
                     self.world.kill(name)
@@ -350,7 +350,7 @@
         for name in self.agents:
             # The store lists all entries, also to an agent that started while all of
             # them were down and knows none.
-            self.world.processes[name].give(AddressesRead(self.entries))
+            self.world.processes[name].deliver_event(AddressesRead(self.entries))
         self.world.run(8.0)
 
 
@@ -375,20 +375,20 @@
             return
         process = self.world.processes[name]
         lag = self.rng.choice((0.015, 0.02, 0.05, 0.3))
-        process.give(LagMeasured(lag))
+        process.deliver_event(LagMeasured(lag))
         seconds = self.rng.choice((0.2, 1.0, 3.0))
         self.world.after(seconds, lambda: self._remove_lag(process))
 
     def _remove_lag(self, process: Process) -> None:
-        if not process.frozen:
-            process.give(LagMeasured(0.0))
+        if not process.suspended:
+            process.deliver_event(LagMeasured(0.0))
 
     def _start_entry(self, name: str) -> None:
         # Settings and the store list all entries, whether they are alive or not. An
         # entry that knew only the live ones accepted a job whose entry had died just
         # before.
         super()._start_entry(name)
-        self.world.processes[name].give(AddressesRead(self.entries))
+        self.world.processes[name].deliver_event(AddressesRead(self.entries))
 
     def _list_unanswered(self, entry: str) -> list[SubmittedJob]:
         return [
@@ -404,7 +404,7 @@
         if unanswered:
             submission = self.rng.choice(unanswered)
             if self.rng.random() < 0.5:
-                self.world.hang_up(submission.entry, submission.caller)
+                self.world.disconnect_caller(submission.entry, submission.caller)
             self._schedule_resubmit(submission.job)
 
     def kill_entry(self) -> None:
@@ -433,7 +433,7 @@
         explorer.world.submit(entry, make_job(f"last-{number}", width=4))
     explorer.world.run(3.0)
     for number in range(len(explorer.entries)):
-        assert explorer.world.get_ends(f"last-{number}") == ["completed"]
+        assert explorer.world.list_ends(f"last-{number}") == ["completed"]
 
 
 @pytest.mark.parametrize("seed", [*SEEDS, *REGRESSION_SEEDS])
@@ -456,7 +456,7 @@
     for seed in SEEDS:
         explorer = LaggingExplorer(seed)
         explore(explorer)
-        events += [note.event for _, _, note in explorer.world.notes]
+        events += [note.event for _, _, note in explorer.world.log_decisions]
     assert events.count("job_forwarded") >= MIN_FORWARDED_PER_SEED * len(SEEDS)
     assert events.count("forwarded_ended") >= MIN_FORWARDED_PER_SEED * len(SEEDS)
 
--- a/tests/core/runs/test_failures.py
+++ b/tests/core/runs/test_failures.py
@@ -10,10 +10,10 @@
 from godwitbank._internal.core.runs.events import ReportReceived, StoredReportRead
 from godwitbank._internal.models.resources import Resources
 from tests.core.runs.test_happy_path import make_world
-from tests.lib.runs_world import QUEUE, RunsWorld, make_job
+from tests.lib.run_cluster import QUEUE, RunCluster, make_job
 
 
-def list_agents_running(world: RunsWorld, job: str) -> list[str]:
+def list_agents_running(world: RunCluster, job: str) -> list[str]:
     """List the agents whose endpoints run a task of a job."""
     return [
         name
@@ -35,10 +35,10 @@
         lost_orders.append(order)
         return 2.0
 
-    world.lose_start = lose_first_start
+    world.start_loss_delay = lose_first_start
     world.submit("entry-0", make_job("j1", seconds=3.0))
     world.run(6.0)
-    assert world.get_ends("j1") == ["completed"]
+    assert world.list_ends("j1") == ["completed"]
     starts = [
         each
         for endpoint in world.endpoints.values()
@@ -63,11 +63,11 @@
         lost_orders.append(order)
         return 0.3
 
-    world.lose_start = lose_first_start
-    world.lose_hold = lambda agent: began + 0.05 < world.now < began + 0.35
+    world.start_loss_delay = lose_first_start
+    world.loses_renewal = lambda agent: began + 0.05 < world.now < began + 0.35
     world.submit("entry-0", make_job("j1", seconds=2.0))
     world.run(5.0)
-    assert world.get_ends("j1") == ["completed"]
+    assert world.list_ends("j1") == ["completed"]
 
 
 def test_unanswered_order_keeps_its_capacity_in_use() -> None:
@@ -75,12 +75,12 @@
     # answer but are carried out, and their capacity is given to other tasks before the
     # orders are certain to be void.
     world = make_world(agents=1)
-    world.lose_start = lambda order: 0.01 if order.task.startswith("j1") else None
+    world.start_loss_delay = lambda order: 0.01 if order.task.startswith("j1") else None
     world.submit("entry-0", make_job("j1", width=10, seconds=1.0))
     world.submit("entry-1", make_job("j2", width=10, seconds=1.0))
     world.run(5.0)
-    assert world.get_ends("j1") == ["completed"]
-    assert world.get_ends("j2") == ["completed"]
+    assert world.list_ends("j1") == ["completed"]
+    assert world.list_ends("j2") == ["completed"]
 
 
 def test_runs_of_a_dead_entry_are_stopped_before_the_caller_retries() -> None:
@@ -90,12 +90,12 @@
     world = make_world()
     world.submit("entry-0", make_job("j1", width=4, seconds=3.0))
     world.run(0.2)
-    world.darken("entry-0")
+    world.power_off("entry-0")
     world.run(1.3)
     assert not list_agents_running(world, "j1")
     world.submit("entry-1", make_job("j1", width=4, seconds=3.0))
     world.run(8.0)
-    assert world.get_ends("j1") == ["completed"]
+    assert world.list_ends("j1") == ["completed"]
 
 
 def test_job_submitted_to_another_entry_is_stopped_at_the_first() -> None:
@@ -107,7 +107,7 @@
     world.run(1.0)
     world.submit("entry-1", make_job("j1", width=4, seconds=2.0))
     world.run(4.0)
-    assert "completed" in world.get_ends("j1")
+    assert "completed" in world.list_ends("j1")
     assert world.processes["entry-0"].core.dispatcher.jobs == {}
 
 
@@ -118,13 +118,13 @@
     world = make_world()
     world.submit("entry-0", make_job("j1", width=4, seconds=2.0))
     world.run(0.2)
-    world.freeze("entry-0")
+    world.suspend("entry-0")
     world.run(1.6)
     world.submit("entry-1", make_job("j1", width=4, seconds=2.0))
     world.run(1.0)
-    world.thaw("entry-0")
+    world.resume("entry-0")
     world.run(8.0)
-    assert "completed" in world.get_ends("j1")
+    assert "completed" in world.list_ends("j1")
 
 
 def test_suspended_agent_ignores_outdated_orders() -> None:
@@ -132,12 +132,12 @@
     # tasks elsewhere once its leases have ended, and the agent resumes and carries out
     # orders left in its sockets that their senders have given up.
     world = make_world(agents=2)
-    world.freeze("agent-0")
+    world.suspend("agent-0")
     world.submit("entry-0", make_job("j1", width=12, seconds=2.0))
     world.run(4.0)
-    world.thaw("agent-0")
+    world.resume("agent-0")
     world.run(4.0)
-    assert world.get_ends("j1") == ["completed"]
+    assert world.list_ends("j1") == ["completed"]
 
 
 def test_runs_of_an_agent_cut_off_from_its_entry_are_placed_elsewhere() -> None:
@@ -149,7 +149,7 @@
     world.run(0.2)
     world.cut_link("entry-0", "agent-0")
     world.run(6.0)
-    assert world.get_ends("j1") == ["completed"]
+    assert world.list_ends("j1") == ["completed"]
 
 
 def test_restarted_agent_stops_runs_of_the_previous_process() -> None:
@@ -162,13 +162,13 @@
     world.kill("agent-0")
     world.run(0.5)
     agent = world.add_agent("agent-0")
-    agent.give(StoredReportRead(world.kept["agent-0"]))
+    agent.deliver_event(StoredReportRead(world.stored_reports["agent-0"]))
     world.run_until(lambda: agent.core.open)
     world.run(0.01)
     world.submit("entry-1", make_job("j2", width=8, seconds=2.0))
     world.run(8.0)
-    assert world.get_ends("j1") == ["completed"]
-    assert world.get_ends("j2") == ["completed"]
+    assert world.list_ends("j1") == ["completed"]
+    assert world.list_ends("j2") == ["completed"]
 
 
 def test_runs_of_an_unreachable_endpoint_are_placed_elsewhere_after_its_lease() -> None:
@@ -180,7 +180,7 @@
     world.run(0.2)
     world.crash_endpoint(list_agents_running(world, "j1")[0])
     world.run(5.0)
-    assert world.get_ends("j1") == ["completed"]
+    assert world.list_ends("j1") == ["completed"]
 
 
 def test_rebooted_endpoint_has_lost_its_runs() -> None:
@@ -189,9 +189,9 @@
     world = make_world(agents=1)
     world.submit("entry-0", make_job("j1", width=4, seconds=1.0))
     world.run(0.2)
-    world.boot_endpoint("agent-0")
+    world.start_endpoint("agent-0")
     world.run(4.0)
-    assert world.get_ends("j1") == ["completed"]
+    assert world.list_ends("j1") == ["completed"]
 
 
 def test_draining_endpoint_gets_no_new_runs_and_finishes_its_own() -> None:
@@ -203,14 +203,14 @@
     endpoint = world.endpoints["agent-0"]
     assert endpoint is not None
     endpoint.draining = True
-    world.processes["agent-0"].give(_make_report_event(world, "agent-0"))
+    world.processes["agent-0"].deliver_event(_make_report_event(world, "agent-0"))
     before = len(endpoint.started)
     world.run(3.0)
-    assert world.get_ends("j1") == ["completed"]
+    assert world.list_ends("j1") == ["completed"]
     assert len(endpoint.started) == before
 
 
-def _make_report_event(world: RunsWorld, name: str):
+def _make_report_event(world: RunCluster, name: str):
     endpoint = world.endpoints[name]
     assert endpoint is not None
     return ReportReceived(endpoint.report(world.now))
@@ -222,9 +222,9 @@
     # boot of the endpoint has reported.
     world = make_world(agents=1)
     delayed = _make_report_event(world, "agent-0")
-    new_boot = world.boot_endpoint("agent-0")
+    new_boot = world.start_endpoint("agent-0")
     world.run(0.2)
-    world.processes["agent-0"].give(delayed)
+    world.processes["agent-0"].deliver_event(delayed)
     assert world.processes["agent-0"].core.endpoint.instance == new_boot.instance
 
 
@@ -239,12 +239,12 @@
     endpoint = world.endpoints["agent-0"]
     assert endpoint is not None
     foreign = endpoint.report(world.now)._replace(instance="i-foreign", service="zz")
-    world.processes["agent-0"].give(ReportReceived(foreign))
+    world.processes["agent-0"].deliver_event(ReportReceived(foreign))
     world.run(2.0)
     agent = world.processes["agent-0"].core
     assert agent.endpoint.instance == endpoint.instance
     assert agent.open
-    assert world.get_ends("j1") == ["completed"]
+    assert world.list_ends("j1") == ["completed"]
     assert len(endpoint.started) == 4
 
 
@@ -256,7 +256,7 @@
     endpoint = world.endpoints["agent-0"]
     assert endpoint is not None
     foreign = endpoint.report(world.now)._replace(service="zz", sequence=10**6)
-    world.processes["agent-0"].give(ReportReceived(foreign))
+    world.processes["agent-0"].deliver_event(ReportReceived(foreign))
     assert world.processes["agent-0"].core.endpoint.service == QUEUE.service
     world.run(2.0)
     # Nor may its sequence number make the endpoint's later reports seem outdated.
@@ -271,7 +271,7 @@
     # answers, the report would stay unverified.
     world = make_world(agents=1)
     world.crash_endpoint("agent-0")
-    new_boot = world.boot_endpoint("agent-0")
+    new_boot = world.start_endpoint("agent-0")
     world.run(0.1)
     agent = world.processes["agent-0"].core
     assert agent.endpoint.instance == new_boot.instance
@@ -282,10 +282,10 @@
     # Guards against the same failure when the new boot reports, but calls to it get no
     # answer for a while, so that no answer tells which boot is running.
     world = make_world(agents=1)
-    world.lose_hold = lambda agent: True
-    new_boot = world.boot_endpoint("agent-0")
+    world.loses_renewal = lambda agent: True
+    new_boot = world.start_endpoint("agent-0")
     world.run(1.0)
-    world.lose_hold = lambda agent: False
+    world.loses_renewal = lambda agent: False
     world.run(0.5)
     agent = world.processes["agent-0"].core
     assert agent.endpoint.instance == new_boot.instance
@@ -303,7 +303,7 @@
         world.submit("entry-0", make_job(f"j{number}", width=2, seconds=0.2))
         world.run(0.1)
     world.run(2.0)
-    ends = [world.get_ends(f"j{number}") for number in range(20)]
+    ends = [world.list_ends(f"j{number}") for number in range(20)]
     assert ends == [["completed"]] * 20
     assert len(failing.started) < 10
 
@@ -317,7 +317,7 @@
         endpoint.behaviour = Behaviour(fails=True)
     world.submit("entry-0", make_job("bad", width=1, seconds=0.2))
     world.run(1.0)
-    assert world.get_ends("bad") == ["failed"]
+    assert world.list_ends("bad") == ["failed"]
     views = world.processes["entry-0"].core.dispatcher.fleet.views.values()
     assert not [view for view in views if view.health.ejected_until > world.now]
 
@@ -331,7 +331,7 @@
     slow.behaviour = Behaviour(hangs=True)
     world.submit("entry-0", make_job("j1", width=12, seconds=0.4))
     world.run(4.0)
-    assert world.get_ends("j1") == ["completed"]
+    assert world.list_ends("j1") == ["completed"]
 
 
 def test_one_lost_renewal_loses_no_run() -> None:
@@ -345,9 +345,9 @@
         calls.append(agent)
         return len(calls) % 3 == 0
 
-    world.lose_hold = lose_every_third
+    world.loses_renewal = lose_every_third
     world.run(4.0)
-    assert world.get_ends("j1") == ["completed"]
+    assert world.list_ends("j1") == ["completed"]
     endpoint = world.endpoints["agent-0"]
     assert endpoint is not None
     assert len(endpoint.started) == 4
@@ -357,7 +357,7 @@
     world = make_world(agents=1)
     caller = world.submit("entry-0", make_job("j1", width=10, seconds=3.0))
     world.run(0.2)
-    world.hang_up("entry-0", caller)
+    world.disconnect_caller("entry-0", caller)
     world.run(0.2)
     assert not list_agents_running(world, "j1")
 
@@ -389,7 +389,7 @@
     world = make_world(agents=1)
     world.kill("agent-0")
     agent = world.add_agent("agent-0")
-    agent.give(StoredReportRead(world.kept["agent-0"]))
+    agent.deliver_event(StoredReportRead(world.stored_reports["agent-0"]))
     world.run(0.1)
     assert agent.core.open
 
@@ -403,10 +403,10 @@
     smaller = Resources(8000, 65536, 0)
     world.endpoints["agent-0"] = FakeEndpoint("i-new", QUEUE.service, smaller)
     agent = world.add_agent("agent-0")
-    agent.give(StoredReportRead(world.kept["agent-0"]))
+    agent.deliver_event(StoredReportRead(world.stored_reports["agent-0"]))
     world.run(0.1)
     assert not agent.core.open
-    world.boot_endpoint("agent-0", smaller)
+    world.start_endpoint("agent-0", smaller)
     world.run(0.5)
     assert agent.core.open
     assert agent.core.held_runs.capacity.cpu == 8000
@@ -423,7 +423,7 @@
     world.run(0.01)
     world.submit("entry-0", make_job("j1", seconds=1.0))
     world.run(3.5)
-    assert world.get_ends("j1") == ["completed"]
+    assert world.list_ends("j1") == ["completed"]
 
 
 def test_job_that_can_not_wait_for_agents_is_refused_immediately() -> None:
@@ -467,7 +467,7 @@
     world.run(1.3)
     world.submit("entry-1", make_job("j1", width=4, seconds=2.0))
     world.run(4.0)
-    assert "completed" in world.get_ends("j1")
+    assert "completed" in world.list_ends("j1")
     assert not world.processes["entry-0"].core.dispatcher.jobs
 
 
@@ -482,7 +482,7 @@
     world.run(1.0)
     world.submit("entry-1", make_job("j1", width=4, seconds=2.5))
     world.run(5.0)
-    assert "completed" in world.get_ends("j1")
+    assert "completed" in world.list_ends("j1")
 
 
 def test_resumed_entry_yields_to_the_newest_owner() -> None:
@@ -492,15 +492,15 @@
     world = make_world()
     world.submit("entry-0", make_job("j1", width=4, seconds=1.0))
     world.run(0.2)
-    world.freeze("entry-0")
+    world.suspend("entry-0")
     world.run(2.4)
     world.submit("entry-1", make_job("j1", width=4, seconds=3.0))
     world.run(0.5)
-    world.thaw("entry-0")
+    world.resume("entry-0")
     world.run(1.5)
     assert not world.processes["entry-0"].core.dispatcher.jobs
     world.run(4.0)
-    assert "completed" in world.get_ends("j1")
+    assert "completed" in world.list_ends("j1")
 
 
 def test_entry_that_restarts_immediately_knows_its_earlier_jobs() -> None:
@@ -521,7 +521,7 @@
     world.run(0.3)
     world.submit("entry-0", job)
     world.run(9.0)
-    assert "completed" in world.get_ends("j1")
+    assert "completed" in world.list_ends("j1")
 
 
 def test_two_entries_that_choose_one_endpoint_both_start_immediately() -> None:
@@ -547,10 +547,10 @@
         world.submit("entry-0", make_job(f"j{number}", width=4, seconds=0.5))
     world.run(2.5)
     for number in range(6):
-        assert world.get_ends(f"j{number}") == ["completed"]
+        assert world.list_ends(f"j{number}") == ["completed"]
 
 
-def _list_runs_after(world: RunsWorld, name: str, at: float) -> list[str]:
+def _list_runs_after(world: RunCluster, name: str, at: float) -> list[str]:
     endpoint = world.endpoints[name]
     assert endpoint is not None
     endpoint.advance(world.now)
@@ -566,13 +566,13 @@
     # out 2 s later, with or without answering renewals in the meantime. The agent must
     # not forget the unconfirmed order before that.
     world = make_world(agents=1)
-    world.lose_start = lambda order: 2.0
-    world.lose_hold = lambda agent: unresponsive
+    world.start_loss_delay = lambda order: 2.0
+    world.loses_renewal = lambda agent: unresponsive
     caller = world.submit("entry-0", make_job("j1", seconds=8.0))
     world.run(0.05)
-    world.hang_up("entry-0", caller)
+    world.disconnect_caller("entry-0", caller)
     world.run(2.1)
-    world.lose_hold = lambda agent: False
+    world.loses_renewal = lambda agent: False
     world.run(1.0)
     assert _list_runs_after(world, "agent-0", world.now - 0.3) == []
 
@@ -582,13 +582,13 @@
     # agent that sent it is killed and replaced, its entry is removed for good, and then
     # the endpoint carries the order out.
     world = make_world(agents=1, entries=2)
-    world.lose_start = lambda order: 2.0
+    world.start_loss_delay = lambda order: 2.0
     world.submit("entry-0", make_job("j1", seconds=8.0))
     world.run(0.05)
     world.kill("agent-0")
-    world.darken("entry-0")
+    world.power_off("entry-0")
     world.run(0.6)
-    world.lose_start = lambda order: None
+    world.start_loss_delay = lambda order: None
     world.add_agent("agent-0")
     world.run(3.0)
     assert _list_runs_after(world, "agent-0", world.now - 0.3) == []
@@ -601,11 +601,11 @@
     world = make_world(entries=1, agents=2)
     world.submit("entry-0", make_job("j1", width=8, seconds=3.0))
     world.run(0.3)
-    world.darken("agent-0")
+    world.power_off("agent-0")
     world.run(0.5)
     world.submit("entry-0", make_job("j2", width=3, seconds=0.2))
     world.run(0.5)
-    assert world.get_ends("j2") == ["completed"]
+    assert world.list_ends("j2") == ["completed"]
 
 
 @pytest.mark.parametrize("seconds", [0.9, 1.5, 2.5])
@@ -614,11 +614,11 @@
     world = make_world(entries=1, agents=1)
     world.submit("entry-0", make_job("j1", width=2, seconds=1.8))
     world.run(0.2)
-    world.lose_hold = lambda agent: True
+    world.loses_renewal = lambda agent: True
     world.run(seconds)
-    world.lose_hold = lambda agent: False
+    world.loses_renewal = lambda agent: False
     world.run(3.0)
     assert world.processes["agent-0"].core.open
     world.submit("entry-0", make_job("j2", seconds=0.2))
     world.run(1.0)
-    assert world.get_ends("j2") == ["completed"]
+    assert world.list_ends("j2") == ["completed"]
--- a/tests/core/runs/test_forwarding.py
+++ b/tests/core/runs/test_forwarding.py
@@ -8,7 +8,7 @@
 from godwitbank._internal.models.jobs import Configuration
 from godwitbank._internal.models.resources import Resources
 from tests.core.runs.test_happy_path import make_world
-from tests.lib.runs_world import QUEUE, RunsWorld, make_job
+from tests.lib.run_cluster import QUEUE, RunCluster, make_job
 
 ENTRIES = ("entry-0", "entry-1")
 
@@ -16,16 +16,16 @@
 """Event loop lag in seconds at which an entry forwards jobs, but refuses none."""
 
 
-def make_lagging_world(entries: int = 2) -> RunsWorld:
+def make_lagging_world(entries: int = 2) -> RunCluster:
     """Make a deployment whose first entry has a high event loop lag."""
     world = make_world(entries=entries)
     for _ in range(8):
-        world.processes["entry-0"].give(LagMeasured(LAG_SECONDS))
+        world.processes["entry-0"].deliver_event(LagMeasured(LAG_SECONDS))
         world.run(0.025)
     return world
 
 
-def find_server(world: RunsWorld, job: str) -> str:
+def find_server(world: RunCluster, job: str) -> str:
     """Return the entry that serves a job."""
     return next(
         name
@@ -34,7 +34,7 @@
     )
 
 
-def count_alive(world: RunsWorld) -> int:
+def count_alive(world: RunCluster) -> int:
     """Count the runs in progress at endpoints."""
     endpoints = [each for each in world.endpoints.values() if each is not None]
     for endpoint in endpoints:
@@ -48,18 +48,18 @@
     world.run(0.1)
     assert find_server(world, "j1") == "entry-1"
     world.run(0.4)
-    assert world.get_ends("j1") == ["completed"]
+    assert world.list_ends("j1") == ["completed"]
 
 
 def test_job_is_not_forwarded_twice() -> None:
     world = make_lagging_world()
     for _ in range(8):
-        world.processes["entry-1"].give(LagMeasured(LAG_SECONDS))
+        world.processes["entry-1"].deliver_event(LagMeasured(LAG_SECONDS))
         world.run(0.001)
     world.submit("entry-0", make_job("j1", seconds=0.2))
     world.run(0.5)
-    assert world.get_ends("j1") == ["completed"]
-    sent = [note for _, _, note in world.notes if note.event == "job_forwarded"]
+    assert world.list_ends("j1") == ["completed"]
+    sent = [note for _, _, note in world.log_decisions if note.event == "job_forwarded"]
     assert len(sent) <= 1
 
 
@@ -70,9 +70,9 @@
     world.run(0.1)
     world.submit("entry-0", job)
     world.run(0.01)
-    world.hang_up("entry-0", first)
+    world.disconnect_caller("entry-0", first)
     world.run(1.0)
-    assert world.get_ends("j1") == ["completed"]
+    assert world.list_ends("j1") == ["completed"]
 
 
 def test_forwarded_job_is_given_up_when_its_caller_disconnects() -> None:
@@ -83,7 +83,7 @@
     caller = world.submit("entry-0", make_job("j1", width=4, seconds=5.0))
     world.run(0.1)
     assert count_alive(world) == 4
-    world.hang_up("entry-0", caller)
+    world.disconnect_caller("entry-0", caller)
     world.run(0.2)
     assert count_alive(world) == 0
     assert not world.processes["entry-0"].core.forwarding.busy
@@ -94,10 +94,10 @@
     world.submit("entry-0", make_job("j1", width=4, seconds=5.0))
     world.run(0.1)
     assert world.processes["entry-0"].core.intake.has_job("j1")
-    world.processes["entry-0"].give(JobCancelled("j1"))
+    world.processes["entry-0"].deliver_event(JobCancelled("j1"))
     world.run(0.2)
     assert count_alive(world) == 0
-    assert world.get_ends("j1") == ["given_up"]
+    assert world.list_ends("j1") == ["given_up"]
 
 
 def test_callers_are_answered_when_the_serving_entry_is_lost() -> None:
@@ -107,7 +107,7 @@
     world = make_lagging_world()
     world.submit("entry-0", make_job("j1", width=4, seconds=5.0))
     world.run(0.1)
-    world.darken("entry-1")
+    world.power_off("entry-1")
     world.run(1.0)
     (result,) = world.results["j1"]
     assert (result.end, result.reason, result.ran) == ("given_up", "cut_off", True)
@@ -121,7 +121,7 @@
     world = make_lagging_world()
     world.submit("entry-0", make_job("j1", width=4, seconds=5.0))
     world.run(0.1)
-    world.darken("entry-0")
+    world.power_off("entry-0")
     world.run(1.0)
     assert count_alive(world) == 0
 
@@ -137,7 +137,7 @@
     world.run(1.3)
     world.submit(third.pop(), job)
     world.run(4.0)
-    assert world.get_ends("j1") == ["completed"]
+    assert world.list_ends("j1") == ["completed"]
 
 
 def test_stopping_entry_waits_for_forwarded_jobs() -> None:
@@ -146,15 +146,15 @@
     world.run(0.1)
     world.stop("entry-0")
     world.run(2.8)
-    assert "entry-0" not in world.quiet
+    assert "entry-0" not in world.shut_down
     world.run(0.5)
-    assert world.get_ends("j1") == ["completed"]
-    assert "entry-0" in world.quiet
+    assert world.list_ends("j1") == ["completed"]
+    assert "entry-0" in world.shut_down
 
 
-def make_split_world() -> RunsWorld:
+def make_split_world() -> RunCluster:
     """Make two entries that are connected to one half of the agents each."""
-    world = RunsWorld(entries_per_agent=1)
+    world = RunCluster(entries_per_agent=1)
     world.add_entry("entry-0")
     world.add_entry("entry-1")
     for number in range(8):
@@ -178,7 +178,7 @@
         world.submit("entry-0", make_job(job, seconds=1.0, cpu=2000))
         world.run(0.25 if job == jobs[connected[0]] else 0.01)
     world.run(4.0)
-    assert [world.get_ends(job) for job in jobs] == [["completed"]] * len(jobs)
+    assert [world.list_ends(job) for job in jobs] == [["completed"]] * len(jobs)
 
 
 def test_job_is_refused_at_once_while_no_entry_has_capacity() -> None:
@@ -199,9 +199,9 @@
     world = make_lagging_world()
     added = QUEUE._replace(name="added", prefix="/added/")
     newer = Configuration(7, (QUEUE, added), 10**6)
-    world.processes["entry-0"].give(ConfigurationRead(newer))
+    world.processes["entry-0"].deliver_event(ConfigurationRead(newer))
     world.submit("entry-0", make_job("j1", seconds=0.2, queue="added"))
     world.run(0.1)
     assert find_server(world, "j1") == "entry-1"
     world.run(0.4)
-    assert world.get_ends("j1") == ["completed"]
+    assert world.list_ends("j1") == ["completed"]
--- a/tests/core/runs/test_load.py
+++ b/tests/core/runs/test_load.py
@@ -5,7 +5,7 @@
 
 from godwitbank._internal.models.jobs import JobSpec, StepSpec
 from godwitbank._internal.models.resources import Resources
-from tests.lib.runs_load import Load
+from tests.lib.run_load import LoadGenerator
 
 SECONDS = 12.0
 SEEDS = (1, 2)
@@ -27,21 +27,21 @@
     # Averaged, because the result of one seed varies by 0.03 with any change of timing.
     earned = []
     for seed in SEEDS:
-        load = Load(seed)
-        load.play(per_second, SECONDS)
-        earned.append(load.settle().worth)
+        load = LoadGenerator(seed)
+        load.submit_jobs(per_second, SECONDS)
+        earned.append(load.finish().worth)
     assert sum(earned) / len(earned) >= least
 
 
 def test_refusals_under_overload_are_prompt() -> None:
     # A caller that can't be served must be refused at once, not after a wait.
-    load = Load(seed=2)
-    load.play(180.0, 4.0)
-    load.settle()
-    sent = load.list_sent()
+    load = LoadGenerator(seed=2)
+    load.submit_jobs(180.0, 4.0)
+    load.finish()
+    sent = load.list_submit_times()
     waits = [
         at - sent[name]
-        for name, results in load.world.results_at.items()
+        for name, results in load.world.timed_results.items()
         for result, at in results
         if result.end == "refused"
     ]
@@ -71,16 +71,16 @@
     # did when slow endpoints were detected by the results of runs, which come late.
     earned = []
     for seed in (1, 2, 3, 4):
-        load = Load(seed, entries=4)
-        load.play(per_second, 3.0)
+        load = LoadGenerator(seed, entries=4)
+        load.submit_jobs(per_second, 3.0)
         slow = [load.world.endpoints[name] for name in ("agent-2", "agent-3")]
         for endpoint in slow:
             endpoint.behaviour = Behaviour(speed=5.0)
-        load.play(per_second, 7.0)
+        load.submit_jobs(per_second, 7.0)
         for endpoint in slow:
             endpoint.behaviour = Behaviour()
-        load.play(per_second, 3.0)
-        earned.append(load.settle().worth)
+        load.submit_jobs(per_second, 3.0)
+        earned.append(load.finish().worth)
     assert sum(earned) / len(earned) >= least
 
 
@@ -88,11 +88,11 @@
     # Guards against a job whose task needs a whole endpoint never starting under
     # overload and being refused after a wait. Unless capacity is reserved for it, small
     # tasks use everything as soon as it becomes free.
-    load = Load(seed=3)
-    load.play(130.0, 1.0)
+    load = LoadGenerator(seed=3)
+    load.submit_jobs(130.0, 1.0)
     step = StepSpec(1, Resources(16000, 64, 0), 0.3)
     load.world.submit("entry-0", JobSpec("large", "middling", "0.3", (step,)))
-    load.play(130.0, 4.0)
+    load.submit_jobs(130.0, 4.0)
     assert [str(r.end) for r in load.world.results["large"]] == ["completed"]
 
 
@@ -103,9 +103,9 @@
     # late jobs was 0.17, and 0.03 with tasks waiting at the entry.
     late = []
     for seed in SEEDS:
-        load = Load(seed)
-        load.play(140.0, SECONDS)
-        late.append(load.settle().late)
+        load = LoadGenerator(seed)
+        load.submit_jobs(140.0, SECONDS)
+        late.append(load.finish().late)
     assert sum(late) / len(late) < 0.10
 
 
@@ -117,7 +117,7 @@
     # their backlog counts by the share of common agents.
     earned = []
     for seed in (1, 2):
-        load = Load(seed, entries=26, agents=61)
-        load.play(600.0, 3.0)
-        earned.append(load.settle().worth)
+        load = LoadGenerator(seed, entries=26, agents=61)
+        load.submit_jobs(600.0, 3.0)
+        earned.append(load.finish().worth)
     assert sum(earned) / len(earned) >= 0.98
--- a/tests/core/runs/test_partial_mesh.py
+++ b/tests/core/runs/test_partial_mesh.py
@@ -13,7 +13,7 @@
 from godwitbank._internal.core.runs.events import AddressesRead
 from godwitbank._internal.core.runs.homes import choose_home
 from godwitbank._internal.core.runs.links import IDLE_TIMEOUT_SECONDS
-from tests.lib.runs_world import Process, RunsWorld, make_job
+from tests.lib.run_cluster import Process, RunCluster, make_job
 
 NOW = 100.0
 STARTUP_SECONDS = 3.0
@@ -23,9 +23,9 @@
 
 def make_partial_mesh(
     entries: int = 4, agents: int = 8, entries_per_agent: int = 2
-) -> RunsWorld:
+) -> RunCluster:
     """Make a deployment in which each agent connects to some entries only."""
-    world = RunsWorld(entries_per_agent=entries_per_agent)
+    world = RunCluster(entries_per_agent=entries_per_agent)
     for number in range(entries):
         world.add_entry(f"entry-{number}")
     for number in range(agents):
@@ -34,12 +34,12 @@
     return world
 
 
-def list_connected_entries(world: RunsWorld, agent: str) -> set[str]:
+def list_connected_entries(world: RunCluster, agent: str) -> set[str]:
     """List the entries that an agent keeps a stream to."""
     return {link.hello.address for link in world.processes[agent].core.links}
 
 
-def find_pair_unconnected_to(world: RunsWorld, other: str) -> tuple[str, str]:
+def find_pair_unconnected_to(world: RunCluster, other: str) -> tuple[str, str]:
     """Find a connected entry and agent where the agent isn't connected to ``other``."""
     for agent in [name for name in world.processes if name.startswith("agent")]:
         connected = list_connected_entries(world, agent)
@@ -58,7 +58,7 @@
     world = make_partial_mesh(entries=3)
     world.add_entry("entry-3")
     for number in range(8):
-        world.processes[f"agent-{number}"].give(AddressesRead(("entry-3",)))
+        world.processes[f"agent-{number}"].deliver_event(AddressesRead(("entry-3",)))
     world.run(8.0)
     connected = [
         list_connected_entries(world, f"agent-{number}") for number in range(8)
@@ -83,7 +83,7 @@
     world.run(0.1)
     world.add_entry("entry-3")
     for number in range(8):
-        world.processes[f"agent-{number}"].give(AddressesRead(("entry-3",)))
+        world.processes[f"agent-{number}"].deliver_event(AddressesRead(("entry-3",)))
     world.run(8.0)
     starts = [
         task
@@ -115,7 +115,7 @@
     world.run(1.3)
     world.submit("entry-0", make_job(job, width=2, seconds=3.0))
     world.run(8.0)
-    assert "completed" in world.get_ends(job)
+    assert "completed" in world.list_ends(job)
     assert not world.processes[first].core.dispatcher.jobs
 
 
@@ -131,7 +131,7 @@
         world.submit("entry-0", make_job(f"j{number}", seconds=0.1))
     world.run(2.0)
     assert not counters.messages["Claim"]
-    assert all(world.get_ends(f"j{number}") == ["completed"] for number in range(6))
+    assert all(world.list_ends(f"j{number}") == ["completed"] for number in range(6))
 
 
 def test_outdated_start_order_is_ignored() -> None:
@@ -168,10 +168,10 @@
         self.steps: Counter[str] = Counter()
 
 
-def count_frames(world: RunsWorld) -> FrameCounters:
+def count_frames(world: RunCluster) -> FrameCounters:
     """Count the frames that processes send and the events they handle from now on."""
     counters = FrameCounters()
-    send, give = world.send_frame, Process.give
+    send, give = world.send_frame, Process.deliver_event
 
     def count_send(process: Process, action) -> None:
         counters.frames[process.name.partition("-")[0]] += 1
@@ -184,7 +184,9 @@
 
     world.send_frame = count_send
     for process in world.processes.values():
-        process.give = lambda event, process=process: count_give(process, event)
+        process.deliver_event = lambda event, process=process: count_give(
+            process, event
+        )
     return counters
 
 
@@ -249,16 +251,18 @@
 def test_lost_entry_delays_only_the_jobs_whose_home_it_was() -> None:
     """Guards against entries that delay every new job while one entry is missing."""
     world = make_partial_mesh(entries=5, agents=10)
-    world.darken("entry-4")
+    world.power_off("entry-4")
     world.run(1.3)
     jobs = [f"j{number}" for number in range(40)]
     for number, job in enumerate(jobs):
         world.submit(f"entry-{number % 4}", make_job(job, seconds=0.05))
         world.run(0.005)
     world.run(4.0)
-    assert [world.get_ends(job) for job in jobs] == [["completed"]] * len(jobs)
+    assert [world.list_ends(job) for job in jobs] == [["completed"]] * len(jobs)
     delayed = {
-        note.request for _, _, note in world.notes if note.event == "job_delayed"
+        note.request
+        for _, _, note in world.log_decisions
+        if note.event == "job_delayed"
     }
     assert len(delayed & set(jobs)) <= len(jobs) / 5 * 2
 
@@ -289,11 +293,11 @@
     job = make_job(moved[number], width=4, seconds=6.0)
     world.submit("entry-0", job)
     world.run(0.5)
-    world.darken("entry-4")
+    world.power_off("entry-4")
     world.run(1.0)
     if joins:
         world.add_entry("entry-5")
     world.run(2.0)
     world.submit("entry-5" if joins else "entry-1", job)
     world.run(8.0)
-    assert world.get_ends(job.job) == ["completed", "completed"]
+    assert world.list_ends(job.job) == ["completed", "completed"]
--- a/tests/core/runs/test_placement.py
+++ b/tests/core/runs/test_placement.py
@@ -6,14 +6,14 @@
 
 from godwitbank._internal.core.runs import placement
 from godwitbank._internal.models.resources import Resources
-from tests.lib.runs_world import RunsWorld, make_job
+from tests.lib.run_cluster import RunCluster, make_job
 
 AGENTS = 60
 
 
-def make_full_world() -> RunsWorld:
+def make_full_world() -> RunCluster:
     """Make one entry with agents that are all full, and tasks that wait."""
-    world = RunsWorld(seed=2)
+    world = RunCluster(seed=2)
     world.checking = False
     world.add_entry("entry-0")
     for number in range(AGENTS):
--- a/tests/core/runs/test_power_loss.py
+++ b/tests/core/runs/test_power_loss.py
@@ -3,7 +3,7 @@
 from random import Random
 
 from godwitbank._internal.core.runs.events import AddressesRead
-from tests.lib.runs_world import RunsWorld, make_job
+from tests.lib.run_cluster import RunCluster, make_job
 
 ENTRIES = tuple(f"entry-{number:02}" for number in range(14))
 AGENTS = tuple(f"agent-{number:02}" for number in range(40))
@@ -22,7 +22,7 @@
 
     def __init__(self, seed: int = 1) -> None:
         self.rng = Random(seed)
-        self.world = RunsWorld(seed)
+        self.world = RunCluster(seed)
         for name in ENTRIES:
             self.world.add_entry(name)
         for name in AGENTS:
@@ -32,11 +32,11 @@
     def lose_power(self) -> None:
         """Cut the power of all VMs, restore it, and wait until all programs run."""
         for name in (*ENTRIES, *AGENTS):
-            self.world.darken(name)
+            self.world.power_off(name)
         for name in AGENTS:
             self.world.endpoints[name] = None
         self.world.run(OUTAGE_SECONDS)
-        self.world.notes.clear()
+        self.world.log_decisions.clear()
         for name in ENTRIES:
             self._schedule_start(name, self._start_entry)
         for name in AGENTS:
@@ -58,7 +58,9 @@
     def _read_store(self, name: str) -> None:
         process = self.world.processes[name]
         addresses_read = AddressesRead(ENTRIES)
-        self.world.after(STORE_READ_SECONDS, lambda: process.give(addresses_read))
+        self.world.after(
+            STORE_READ_SECONDS, lambda: process.deliver_event(addresses_read)
+        )
 
     def submit_jobs(self) -> list[str]:
         """Submit short jobs at all entries for a while, and return their names."""
@@ -73,7 +75,9 @@
 
     def find_first_event_time(self, event: str) -> float:
         """Return when an event was first logged after power returned."""
-        return min(at for at, _, note in self.world.notes if note.event == event)
+        return min(
+            at for at, _, note in self.world.log_decisions if note.event == event
+        )
 
 
 def test_runs_start_once_all_programs_run() -> None:
@@ -89,5 +93,5 @@
     power_loss.lose_power()
     jobs = power_loss.submit_jobs()
     power_loss.world.run(2.0)
-    ends = [power_loss.world.get_ends(job) for job in jobs]
+    ends = [power_loss.world.list_ends(job) for job in jobs]
     assert sum(end == ["completed"] for end in ends) >= 0.95 * len(jobs)
--- a/tests/core/runs/test_silent_streams_exploration.py
+++ b/tests/core/runs/test_silent_streams_exploration.py
@@ -31,15 +31,15 @@
 
     def silence_all(self) -> None:
         """Silence all open streams."""
-        self.world.silence_streams()
+        self.world.blackhole_streams()
 
     def silence_some(self) -> None:
         """Silence each end of a stream at random."""
-        self.world.silence_streams(lambda: self.rng.random() < SILENCED_SHARE)
+        self.world.blackhole_streams(lambda: self.rng.random() < SILENCED_SHARE)
 
     def silence_one_way(self) -> None:
         """Silence a few ends of streams, so that most of them fail in one direction."""
-        self.world.silence_streams(lambda: self.rng.random() < ONE_WAY_SHARE)
+        self.world.blackhole_streams(lambda: self.rng.random() < ONE_WAY_SHARE)
 
 
 @pytest.mark.parametrize("seed", SEEDS)
--- a/tests/core/runs/test_takeovers.py
+++ b/tests/core/runs/test_takeovers.py
@@ -10,7 +10,7 @@
 from tests.core.runs.test_failures import list_agents_running
 from tests.core.runs.test_happy_path import make_world
 from tests.core.runs.test_partial_mesh import make_partial_mesh
-from tests.lib.runs_world import RunsWorld, make_job
+from tests.lib.run_cluster import RunCluster, make_job
 
 RESUBMIT_SECONDS = 1.3
 """Seconds from a broken connection to the caller's next submission."""
@@ -18,12 +18,12 @@
 JOB = make_job("j1", width=16, seconds=1.8)
 
 
-def run_until(world: RunsWorld, at: float) -> None:
+def run_until(world: RunCluster, at: float) -> None:
     """Run the world up to a time, in seconds."""
     world.run(at - world.now)
 
 
-def kill_and_restart_entries(world: RunsWorld, *entries: str) -> None:
+def kill_and_restart_entries(world: RunCluster, *entries: str) -> None:
     """Kill entries, and start new processes in their place 0.2 s later."""
     for entry in entries:
         world.kill(entry)
@@ -56,10 +56,10 @@
     kill_and_restart_entries(world, "entry-1", "entry-2")
     run_until(world, killed_at + RESUBMIT_SECONDS)
     world.submit("entry-0", JOB)
-    world.heal()
+    world.restore_links()
     world.add_agent(agent)
     world.run(8.0)
-    assert "completed" in world.get_ends("j1")
+    assert "completed" in world.list_ends("j1")
 
 
 @pytest.mark.parametrize("agent_dies", [0.3, 0.5, 0.6, 0.68])
@@ -71,7 +71,7 @@
     # would notice, and the other entries are restarted. The caller's connection broke
     # shortly before. Its new entry probes the first one through others, learns that it
     # is gone, and starts the job at once.
-    world = RunsWorld(entries_per_agent=2)
+    world = RunCluster(entries_per_agent=2)
     for number in range(5):
         world.add_entry(f"entry-{number}")
     for number in range(12):
@@ -83,14 +83,14 @@
     broke_at = world.now
     world.run(0.05)
     darkened_at = world.now
-    world.darken("entry-2")
+    world.power_off("entry-2")
     kill_and_restart_entries(world, "entry-0", "entry-1", "entry-3", "entry-4")
     run_until(world, darkened_at + agent_dies)
     world.kill(agent)
     run_until(world, broke_at + RESUBMIT_SECONDS)
     world.submit("entry-3", JOB)
     world.run(8.0)
-    assert "completed" in world.get_ends("j1")
+    assert "completed" in world.list_ends("j1")
 
 
 @pytest.mark.parametrize("darkened_after", [0.0, 0.004, 0.09])
@@ -105,20 +105,20 @@
     # that it reaches and starts it. Its log then has no `job_delayed` for the job, and
     # `job_accepted` 50 ms after the submission.
     world = make_world(entries=3, agents=4)
-    world.freeze("entry-2")
+    world.suspend("entry-2")
     world.run(0.8)
     world.submit("entry-0", JOB)
     world.run_until(lambda: bool(list_agents_running(world, "j1")), 1.0)
     world.run(0.2)
     world.cut_link("entry-2", list_agents_running(world, "j1")[0])
     world.run(1.0)
-    world.thaw("entry-2")
+    world.resume("entry-2")
     world.run(darkened_after)
-    world.darken("entry-0")
+    world.power_off("entry-0")
     world.run(asked_after)
     world.submit("entry-2", JOB)
     world.run(8.0)
-    assert world.get_ends("j1")
+    assert world.list_ends("j1")
 
 
 @pytest.mark.parametrize("taken_after", [1.3, 1.6, 1.9])
@@ -135,7 +135,7 @@
     world = make_world(entries=2, agents=3)
     world.submit("entry-1", JOB)
     world.run(0.2)
-    world.freeze("entry-1")
+    world.suspend("entry-1")
     world.run(0.8)
     world.kill("entry-0")
     world.add_entry("entry-0")
@@ -143,9 +143,9 @@
     world.run(taken_after - 0.8)
     world.submit("entry-0", JOB)
     world.run(wakes_after)
-    world.thaw("entry-1")
+    world.resume("entry-1")
     world.run(8.0)
-    assert world.get_ends("j1")
+    assert world.list_ends("j1")
 
 
 @pytest.mark.parametrize("darkened_after", [0.9, 1.1, 1.25])
@@ -173,11 +173,11 @@
     world.run(0.1)
     world.submit("entry-0", JOB)
     world.run(darkened_after)
-    world.darken("entry-0")
+    world.power_off("entry-0")
     world.run(0.05 + RESUBMIT_SECONDS - darkened_after)
     world.submit("entry-2", JOB)
     world.run(8.0)
-    assert world.get_ends("j1")
+    assert world.list_ends("j1")
 
 
 def test_an_agent_that_still_stops_runs_is_waited_for() -> None:
@@ -194,7 +194,7 @@
         world.delay_frames(agent, "entry-1", 0.03)
     world.submit("entry-1", JOB)
     world.run(8.0)
-    assert "completed" in world.get_ends("j1")
+    assert "completed" in world.list_ends("j1")
 
 
 @pytest.mark.parametrize("second_after", [0.2, 0.4, 0.6])
@@ -218,9 +218,9 @@
     world.run(second_after)
     world.submit("entry-1", JOB)
     world.run(0.1)
-    world.heal()
+    world.restore_links()
     world.run(8.0)
-    assert "completed" in world.get_ends("j1")
+    assert "completed" in world.list_ends("j1")
 
 
 @pytest.mark.parametrize("agent_dies", [0.5, 0.6, 0.65])
@@ -241,13 +241,13 @@
     world.submit("entry-0", JOB)
     world.run(0.6)
     submitted_at = world.now - 0.6
-    world.darken("entry-0")
+    world.power_off("entry-0")
     world.run(agent_dies)
     world.kill("agent-0")
     run_until(world, submitted_at + RESUBMIT_SECONDS)
     world.submit("entry-1", JOB)
     world.run(8.0)
-    assert world.get_ends("j1")
+    assert world.list_ends("j1")
 
 
 @pytest.mark.parametrize("patience", [0.3, 0.7])
@@ -259,13 +259,13 @@
     # one; if deadlines are checked for started jobs only, the held one is missed.
     world = make_world(entries=2, agents=3)
     world.kill("entry-1")
-    world.darken("entry-0")
+    world.power_off("entry-0")
     world.add_entry("entry-0")
     world.run(0.05)
     submitted_at = world.now
     world.submit("entry-0", JOB, patience)
     world.run(patience + 0.2)
-    ((result, at),) = world.results_at["j1"]
+    ((result, at),) = world.timed_results["j1"]
     assert (result.end, result.ran) == ("given_up", True)
     assert result.retry_after
     assert at < submitted_at + patience + 0.1
@@ -285,7 +285,7 @@
     world.run(RESUBMIT_SECONDS)
     world.submit("entry-3", JOB)
     world.run(8.0)
-    assert "completed" in world.get_ends("j1")
+    assert "completed" in world.list_ends("j1")
 
 
 @pytest.mark.parametrize("frozen_before", [0.02, 0.1, 0.3])
@@ -310,16 +310,16 @@
     world.add_entry("entry-1")
     world.run(0.3)
     world.add_entry("entry-2")
-    world.processes["entry-2"].give(AddressesRead(("entry-0",)))
+    world.processes["entry-2"].deliver_event(AddressesRead(("entry-0",)))
     started_at = world.now
     world.run(0.4)
     world.submit("entry-2", make_job("j1", width=16, seconds=6.0))
     run_until(world, started_at + 1.1 - frozen_before)
-    world.freeze("agent-3")
+    world.suspend("agent-3")
     world.run(0.55)
-    world.thaw("agent-3")
+    world.resume("agent-3")
     world.run(8.0)
-    assert world.get_ends("j1")
+    assert world.list_ends("j1")
 
 
 @pytest.mark.parametrize("asked_after", [0.0, 0.05, 0.1, 0.15, 0.2, 0.25])
@@ -335,9 +335,9 @@
     world.run(1.0)
     world.submit("entry-0", make_job("j1", width=16, seconds=4.0))
     world.run(RESUBMIT_SECONDS + asked_after)
-    world.freeze("agent-0")
+    world.suspend("agent-0")
     world.submit("entry-1", make_job("j1", width=16, seconds=4.0))
     world.run(1.5)
-    world.thaw("agent-0")
+    world.resume("agent-0")
     world.run(8.0)
-    assert world.get_ends("j1")
+    assert world.list_ends("j1")
--- a/tests/core/runs/test_two_entries.py
+++ b/tests/core/runs/test_two_entries.py
@@ -8,7 +8,7 @@
 from godwitbank._internal.core.runs.entry import UNREADY_SECONDS
 from godwitbank._internal.core.runs.events import AddressesRead
 from tests.core.runs.test_happy_path import make_world
-from tests.lib.runs_world import RunsWorld, make_job
+from tests.lib.run_cluster import RunCluster, make_job
 
 SUBMISSION_GAPS_SECONDS = (
     0.0,
@@ -37,9 +37,9 @@
 capacity."""
 
 
-def make_partial_mesh(seed: int = 0) -> RunsWorld:
+def make_partial_mesh(seed: int = 0) -> RunCluster:
     """Make a deployment in which each agent has streams to two of five entries."""
-    world = RunsWorld(seed, entries_per_agent=2)
+    world = RunCluster(seed, entries_per_agent=2)
     for number in range(5):
         world.add_entry(f"entry-{number}")
     for number in range(12):
@@ -48,13 +48,13 @@
     return world
 
 
-def count_starts(world: RunsWorld) -> int:
+def count_starts(world: RunCluster) -> int:
     """Count the runs that endpoints have started."""
     return sum(len(each.started) for each in world.endpoints.values() if each)
 
 
 def submit_twice(
-    world: RunsWorld, first: str, second: str, gap: float, job: str = "j1"
+    world: RunCluster, first: str, second: str, gap: float, job: str = "j1"
 ) -> None:
     """Submit a job at one entry and, after a gap in seconds, at another."""
     spec = make_job(job, width=TASKS_PER_JOB, seconds=RUN_SECONDS)
@@ -63,7 +63,7 @@
     world.submit(second, spec)
 
 
-def check_duplicate_jobs(world: RunsWorld, gap: float, pause: float) -> None:
+def check_duplicate_jobs(world: RunCluster, gap: float, pause: float) -> None:
     """Submit six jobs at two entries each, and check that all are completed.
 
     :param pause: seconds between two jobs.
@@ -74,7 +74,7 @@
         world.run(pause)
     world.run(12.0)
     for job in jobs:
-        assert "completed" in world.get_ends(job)
+        assert "completed" in world.list_ends(job)
 
 
 @pytest.mark.parametrize("gap", SUBMISSION_GAPS_SECONDS)
@@ -90,7 +90,7 @@
         world.run(0.05)
     world.run(8.0)
     for job in jobs:
-        assert world.get_ends(job) == ["completed", "completed"]
+        assert world.list_ends(job) == ["completed", "completed"]
     assert count_starts(world) == TASKS_PER_JOB * len(jobs)
 
 
@@ -110,7 +110,7 @@
     world.run(8.0)
     for number, job in enumerate(jobs):
         if number != (number + 1 + seed) % 5:
-            assert world.get_ends(job) == ["completed", "completed"]
+            assert world.list_ends(job) == ["completed", "completed"]
 
 
 @pytest.mark.parametrize("hangs_up", [False, True])
@@ -129,15 +129,15 @@
         caller = world.submit("entry-1", job)
         world.run(gap)
         if hangs_up:
-            world.hang_up("entry-1", caller)
+            world.disconnect_caller("entry-1", caller)
         world.submit("entry-0", job)
         world.run(0.02)
     world.run(8.0)
-    world.heal()
+    world.restore_links()
     world.run(3.0)
     for number in range(3):
         # The job may have been granted to the entry of the caller that hung up.
-        ends = world.get_ends(f"j{number}")
+        ends = world.list_ends(f"j{number}")
         assert ends if hangs_up else "completed" in ends
 
 
@@ -163,17 +163,17 @@
     """Guards against two entries that disagree on a job's home, as one joins."""
     world = make_world(entries=3, agents=4)
     if unreached:
-        world.darken("entry-2")
+        world.power_off("entry-2")
         world.run(14.0)
     world.add_entry("entry-3")
-    world.processes["entry-3"].give(AddressesRead(("entry-2",)))
+    world.processes["entry-3"].deliver_event(AddressesRead(("entry-2",)))
     world.run(started_before)
     check_duplicate_jobs(world, gap, 0.002)
 
 
 @pytest.mark.parametrize("gap", [0.0, 0.0005, 0.01, 0.3])
 @pytest.mark.parametrize("ended_before", [0.0, 0.001, 0.003, 0.1])
-@pytest.mark.parametrize("how", ["kill", "darken", "freeze", "stop"])
+@pytest.mark.parametrize("how", ["kill", "power_off", "suspend", "stop"])
 @pytest.mark.parametrize("wide", [False, True])
 def test_a_job_at_two_entries_while_a_third_one_is_lost_is_run_once(
     wide: bool, how: str, ended_before: float, gap: float
@@ -223,7 +223,7 @@
         world.submit("entry-1", make_job(job, seconds=RUN_SECONDS))
     world.run(8.0)
     for job in jobs:
-        assert world.get_ends(job) == ["completed", "completed"]
+        assert world.list_ends(job) == ["completed", "completed"]
 
 
 @pytest.mark.parametrize("granted_before", [0.001, 0.003, 0.01])
@@ -237,14 +237,14 @@
     jobs = [f"j{number}" for number in range(12)]
     for job in jobs:
         world.submit("entry-0", make_job(job, seconds=RUN_SECONDS))
-    world.run_until(lambda: "entry-2" in world.quiet, 1.0)
+    world.run_until(lambda: "entry-2" in world.shut_down, 1.0)
     world.kill("entry-2")
     world.run(0.003)
     for job in jobs:
         world.submit("entry-1", make_job(job, seconds=RUN_SECONDS))
     world.run(8.0)
     for job in jobs:
-        assert world.get_ends(job) == ["completed", "completed"]
+        assert world.list_ends(job) == ["completed", "completed"]
 
 
 def test_a_job_submitted_twice_at_an_entry_that_is_not_synced_is_answered_to_both() -> (
@@ -252,10 +252,10 @@
 ):
     """Guards against a second submission that is refused while the first is held."""
     world = make_world(entries=2, agents=2)
-    world.darken("entry-1")
+    world.power_off("entry-1")
     world.kill("entry-0")
     world.add_entry("entry-0")
     world.run(0.1)
     submit_twice(world, "entry-0", "entry-0", 0.05)
     world.run(8.0)
-    assert world.get_ends("j1") == ["completed", "completed"]
+    assert world.list_ends("j1") == ["completed", "completed"]
--- a/tests/core/runs/test_two_entries_exploration.py
+++ b/tests/core/runs/test_two_entries_exploration.py
@@ -8,7 +8,7 @@
 from godwitbank._internal.models.jobs import JobSpec
 from tests.core.runs.test_exploration import PARTIAL_MESH, SEEDS, SMALL, Size, explore
 from tests.core.runs.test_silent_streams_exploration import SilentStreamExplorer
-from tests.lib.runs_world import make_job
+from tests.lib.run_cluster import make_job
 
 SUBMISSION_GAPS_SECONDS = (0.0, 0.0005, 0.001, 0.003, 0.01, 0.07, 0.3, 0.8)
 """Possible intervals between the two submissions of a job."""
@@ -36,7 +36,9 @@
         caller = self.world.submit(first, job, self.rng.choice((2.0, 5.0)))
         gap = self.rng.choice(SUBMISSION_GAPS_SECONDS)
         if self.rng.random() < 0.3:
-            self.world.after(gap, lambda: process.give(CallerDisconnected(caller)))
+            self.world.after(
+                gap, lambda: process.deliver_event(CallerDisconnected(caller))
+            )
         patience = self.rng.choice((2.0, 5.0))
         self.world.after(gap, lambda: self._submit_live(second, job, patience))
 
--- a/tests/core/runs/test_waiting.py
+++ b/tests/core/runs/test_waiting.py
@@ -2,7 +2,7 @@
 
 from godwitbank._internal.core.runs.jobs import Job, TaskState
 from godwitbank._internal.core.runs.waiting import WaitingTasks
-from tests.lib.runs_world import QUEUE, make_job
+from tests.lib.run_cluster import QUEUE, make_job
 
 NOW = 100.0
 
--- a/tests/core/test_exploration.py
+++ b/tests/core/test_exploration.py
@@ -1,6 +1,6 @@
 """Stateful tests of several cores and an unreliable network between them.
 
-The invariants that ``tests.lib.world`` checks must hold after each step.
+The invariants that ``tests.lib.task_cluster`` checks must hold after each step.
 ``make explore`` runs more examples. The last tests break one invariant at a time and
 check that the exploration detects it.
 """
@@ -18,7 +18,7 @@
 from godwitbank._internal.core.events import DocumentRead
 from godwitbank._internal.core.task_history import TaskHistory
 from godwitbank._internal.models.messages import Refusal, Verdict
-from tests.lib.world import DESK, World
+from tests.lib.task_cluster import DESK_DOCUMENT, TaskCluster
 
 ENTRIES = st.sampled_from(["entry-0", "entry-1"])
 AGENTS = st.sampled_from(["agent-0", "agent-1"])
@@ -32,7 +32,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.world = World()
+        self.world = TaskCluster()
 
     @rule(entry=ENTRIES, count=st.integers(1, 5))
     def submit_job(self, entry: str, count: int) -> None:
@@ -57,7 +57,7 @@
 
     @rule()
     def settle(self) -> None:
-        self.world.settle(2)
+        self.world.deliver_all(2)
 
     @rule(agent=AGENTS, pick=PICK, answered=st.booleans())
     def end_run(self, agent: str, pick: int, answered: bool) -> None:
@@ -75,18 +75,18 @@
 
     @rule(pick=PICK, ways=st.sampled_from([(True, False), (False, True), (True, True)]))
     def silence(self, pick: int, ways: tuple[bool, bool]) -> None:
-        wires = list(self.world.wires.values())
+        wires = list(self.world.streams.values())
         if wires:
             wire = wires[-1 - pick % min(len(wires), 8)]
-            wire.silent = [
-                old or new for old, new in zip(wire.silent, ways, strict=True)
+            wire.loses_frames = [
+                old or new for old, new in zip(wire.loses_frames, ways, strict=True)
             ]
 
     @rule(pick=PICK)
     def cut(self, pick: int) -> None:
-        numbers = [n for n, wire in self.world.wires.items() if not any(wire.closed)]
+        numbers = [n for n, wire in self.world.streams.items() if not any(wire.closed)]
         if numbers:
-            wire = self.world.wires[numbers[pick % len(numbers)]]
+            wire = self.world.streams[numbers[pick % len(numbers)]]
             for end in (0, 1):
                 wire.queues[end].clear()
                 wire.queues[end].append(b"")
@@ -94,10 +94,10 @@
     @rule(pick=PICK, end=st.sampled_from([0, 1]))
     def reset_one_side(self, pick: int, end: int) -> None:
         """Close a stream at one end while the other end still reads from it."""
-        wires = self.world.wires
+        wires = self.world.streams
         numbers = [number for number, wire in wires.items() if not any(wire.closed)]
         if numbers:
-            self.world.reset(numbers[-1 - pick % min(len(numbers), 6)], end)
+            self.world.reset_stream(numbers[-1 - pick % min(len(numbers), 6)], end)
 
     @rule(pick=PICK)
     def overtake(self, pick: int) -> None:
@@ -105,12 +105,12 @@
         waiting = [
             number
             for number, end in self.world.list_deliverable()
-            if end == 1 and self.world.wires[number].opened[1]
+            if end == 1 and self.world.streams[number].opened[1]
         ]
         if waiting:
             number = waiting[pick % len(waiting)]
-            self.world.reset(number, 0)
-            self.world.settle(3, but=number)
+            self.world.reset_stream(number, 0)
+            self.world.deliver_all(3, except_stream=number)
 
     @rule(name=ANY)
     def pause(self, name: str) -> None:
@@ -118,31 +118,31 @@
 
     @rule(name=ANY)
     def wake(self, name: str) -> None:
-        self.world.wake(name)
+        self.world.resume(name)
 
     @rule(agent=AGENTS)
     def restart_agent(self, agent: str) -> None:
         self.world.kill(agent)
-        self.world.boot_agent(agent)
+        self.world.start_agent(agent)
 
     @rule(entry=ENTRIES)
     def restart_entry(self, entry: str) -> None:
         self.world.kill(entry)
-        self.world.boot_entry(entry)
+        self.world.start_entry(entry)
 
     @rule(agent=AGENTS)
-    @precondition(lambda self: len(self.world.left) == 0)
+    @precondition(lambda self: len(self.world.left_agents) == 0)
     def leave(self, agent: str) -> None:
         self.world.leave(agent)
 
     @rule(entry=ENTRIES)
     def apply(self, entry: str) -> None:
-        self.world.apply(entry)
+        self.world.apply_revision(entry)
 
     @rule(entry=ENTRIES)
     def read_old_revision(self, entry: str) -> None:
         process = self.world.processes[entry]
-        self.world.post(process, DocumentRead("desk", 1, DESK))
+        self.world.deliver_event(process, DocumentRead("desk", 1, DESK_DOCUMENT))
 
     def teardown(self) -> None:
         self.world.check_not_run()
@@ -220,7 +220,7 @@
     exploration = Exploration()
     for _ in range(WALK_STEPS if kinds else 0):
         kind = rng.choice(kinds)
-        if kind == "leave" and exploration.world.left:
+        if kind == "leave" and exploration.world.left_agents:
             continue
         getattr(exploration, kind)(**draws[kind]())
     exploration.teardown()
--- a/tests/failures/test_answers.py
+++ b/tests/failures/test_answers.py
@@ -6,7 +6,7 @@
 import pytest
 from standins.fleet import Fleet
 
-from tests.lib.scenes import read_counter, send_request, start_desk
+from tests.lib.fleet_helpers import read_counter, send_request, start_desk
 
 pytestmark = pytest.mark.processes
 
--- a/tests/failures/test_bad_input.py
+++ b/tests/failures/test_bad_input.py
@@ -11,7 +11,13 @@
 
 from godwitbank._internal.models.messages import Hello, Load
 from godwitbank._internal.network.codec import encode
-from tests.lib.scenes import base_url, make_job, read_counter, send_job, start_desk
+from tests.lib.fleet_helpers import (
+    base_url,
+    make_job,
+    read_counter,
+    send_job,
+    start_desk,
+)
 
 pytestmark = pytest.mark.processes
 
--- a/tests/failures/test_configuration.py
+++ b/tests/failures/test_configuration.py
@@ -9,7 +9,13 @@
 import pytest
 from standins.fleet import Fleet, wait_for
 
-from tests.lib.scenes import DEMO, base_url, in_background, send_request, start_desk
+from tests.lib.fleet_helpers import (
+    DEMO,
+    base_url,
+    run_in_background,
+    send_request,
+    start_desk,
+)
 
 pytestmark = pytest.mark.processes
 
@@ -68,7 +74,7 @@
     """
     start_desk(fleet, entries=2, agents=1)
     both = [
-        in_background(
+        run_in_background(
             fleet.operate,
             "apply",
             _write(tmp_path, number + 3),
--- a/tests/failures/test_endpoints.py
+++ b/tests/failures/test_endpoints.py
@@ -5,7 +5,7 @@
 import pytest
 from standins.fleet import Fleet
 
-from tests.lib.scenes import (
+from tests.lib.fleet_helpers import (
     make_job,
     read_counter,
     send_job,
--- a/tests/failures/test_jobs.py
+++ b/tests/failures/test_jobs.py
@@ -6,15 +6,15 @@
 import pytest
 from standins.fleet import Fleet, wait_for
 
-from tests.lib.scenes import (
-    await_running,
+from tests.lib.fleet_helpers import (
     base_url,
     count_starts,
-    in_background,
     make_job,
     read_counter,
+    run_in_background,
     send_job,
     start_desk,
+    wait_for_running,
 )
 
 pytestmark = pytest.mark.processes
@@ -36,8 +36,8 @@
     Cause: a started task can't be started again.
     """
     start_desk(fleet, agents=2)
-    job = in_background(send_job, fleet.entries[0], make_job(60, run_ms=1000))
-    await_running(fleet, 16)
+    job = run_in_background(send_job, fleet.entries[0], make_job(60, run_ms=1000))
+    wait_for_running(fleet, 16)
     fleet.endpoints[0].kill()
     _assert_failed(job.result(timeout=10), "endpoint_failed")
 
@@ -81,7 +81,7 @@
         with pytest.raises(httpx.TimeoutException):
             httpx.post(url, json=make_job(4, run_ms=8000), timeout=1.0)
 
-    callers = [in_background(hang_up) for _ in range(40)]
+    callers = [run_in_background(hang_up) for _ in range(40)]
     for caller in callers:
         caller.result(timeout=20)
     wait_for(lambda: fleet.status()["jobs"] == 0, "the jobs to be dropped", 10)
--- a/tests/failures/test_leaving.py
+++ b/tests/failures/test_leaving.py
@@ -4,16 +4,16 @@
 import pytest
 from standins.fleet import Fleet, Running, wait_for
 
-from tests.lib.scenes import (
-    await_running,
+from tests.lib.fleet_helpers import (
     base_url,
     count_starts,
-    in_background,
     make_job,
     read_counter,
+    run_in_background,
     send_job,
     send_request,
     start_desk,
+    wait_for_running,
 )
 
 pytestmark = pytest.mark.processes
@@ -57,9 +57,9 @@
     Cause: leaving known at the entry only, or an exit before the answers.
     """
     start_desk(fleet, agents=2)
-    job = in_background(send_job, fleet.entries[0], make_job(TASKS, run_ms=RUN_MS))
-    await_running(fleet, 16)
-    leaving = in_background(_leave, fleet, way)
+    job = run_in_background(send_job, fleet.entries[0], make_job(TASKS, run_ms=RUN_MS))
+    wait_for_running(fleet, 16)
+    leaving = run_in_background(_leave, fleet, way)
     before = _count_starts_once_leaving(fleet)
     answer = job.result(timeout=30)
     assert answer.status_code == 200, answer.text
@@ -79,8 +79,8 @@
     Cause: an agent that goes on starting tasks, or doesn't say what runs.
     """
     start_desk(fleet, agents=2)
-    job = in_background(send_job, fleet.entries[0], make_job(TASKS, run_ms=RUN_MS))
-    await_running(fleet, 16)
+    job = run_in_background(send_job, fleet.entries[0], make_job(TASKS, run_ms=RUN_MS))
+    wait_for_running(fleet, 16)
     fleet.endpoints[0].stop()
     answer = job.result(timeout=30)
     assert answer.status_code == 200, answer.text
--- a/tests/failures/test_path.py
+++ b/tests/failures/test_path.py
@@ -3,7 +3,13 @@
 import pytest
 from standins.fleet import Fleet
 
-from tests.lib.scenes import count_starts, make_job, send_job, send_request, start_desk
+from tests.lib.fleet_helpers import (
+    count_starts,
+    make_job,
+    send_job,
+    send_request,
+    start_desk,
+)
 
 pytestmark = pytest.mark.processes
 
--- a/tests/failures/test_refusals.py
+++ b/tests/failures/test_refusals.py
@@ -10,16 +10,16 @@
 import pytest
 from standins.fleet import Fleet, Running, is_listening, wait_for
 
-from tests.lib.scenes import (
+from tests.lib.fleet_helpers import (
     DEMO,
-    await_running,
     base_url,
     count_starts,
-    in_background,
     make_job,
+    run_in_background,
     send_job,
     send_request,
     start_desk,
+    wait_for_running,
 )
 
 pytestmark = pytest.mark.processes
@@ -118,9 +118,9 @@
     """
     start_desk(fleet, agents=1, slots=4)
     entry = fleet.entries[0]
-    running = in_background(send_job, entry, make_job(4, run_ms=3000))
-    await_running(fleet, 4)
-    waiting = in_background(send_job, entry, make_job(4, run_ms=10))
+    running = run_in_background(send_job, entry, make_job(4, run_ms=3000))
+    wait_for_running(fleet, 4)
+    waiting = run_in_background(send_job, entry, make_job(4, run_ms=10))
     fleet.agents[0].kill()
     answers = [each.result(timeout=15) for each in (waiting, running)]
     reasons = _check_record(fleet, answers)
--- a/tests/failures/test_requests.py
+++ b/tests/failures/test_requests.py
@@ -3,12 +3,12 @@
 import pytest
 from standins.fleet import Fleet, wait_for
 
-from tests.lib.scenes import (
-    await_running,
+from tests.lib.fleet_helpers import (
     count_keys,
-    in_background,
+    run_in_background,
     send_request,
     start_desk,
+    wait_for_running,
 )
 
 pytestmark = pytest.mark.processes
@@ -29,7 +29,7 @@
     for number in range(10):
         key = f"charge-{number}"
         both = [
-            in_background(
+            run_in_background(
                 send_request, entry, {"run_ms": 20, "nonce": key}, "renewal", key
             )
             for entry in fleet.entries
@@ -60,8 +60,10 @@
     """
     start_desk(fleet, entries=2, agents=2)
     payload = {"run_ms": 1500, "nonce": "mine"}
-    lost = in_background(send_request, fleet.entries[0], payload, "renewal", "orphan")
-    await_running(fleet, 1)
+    lost = run_in_background(
+        send_request, fleet.entries[0], payload, "renewal", "orphan"
+    )
+    wait_for_running(fleet, 1)
     fleet.entries[0].kill()
     assert lost.exception(timeout=20) is not None
     running = send_request(fleet.entries[1], payload, "renewal", "orphan")
@@ -89,8 +91,10 @@
     """
     start_desk(fleet, entries=1, agents=2)
     payload = {"run_ms": 1500, "nonce": "mine"}
-    first = in_background(send_request, fleet.entries[0], payload, "renewal", "widow")
-    await_running(fleet, 1)
+    first = run_in_background(
+        send_request, fleet.entries[0], payload, "renewal", "widow"
+    )
+    wait_for_running(fleet, 1)
     for agent, endpoint in zip(fleet.agents, fleet.endpoints, strict=True):
         if fleet.record(endpoint)["running"]:
             agent.kill()
--- a/tests/failures/test_starts.py
+++ b/tests/failures/test_starts.py
@@ -5,15 +5,15 @@
 import pytest
 from standins.fleet import Fleet, wait_for
 
-from tests.lib.scenes import (
-    await_running,
+from tests.lib.fleet_helpers import (
     count_starts,
-    in_background,
     make_job,
     read_counter,
+    run_in_background,
     send_job,
     send_request,
     start_desk,
+    wait_for_running,
 )
 
 pytestmark = pytest.mark.processes
@@ -33,8 +33,8 @@
     Cause: starts waiting at agents outlive the entry that sent them.
     """
     start_desk(fleet, entries=2, agents=1, slots=4)
-    lost = in_background(send_job, fleet.entries[0], make_job(40, run_ms=150))
-    await_running(fleet, 4)
+    lost = run_in_background(send_job, fleet.entries[0], make_job(40, run_ms=150))
+    wait_for_running(fleet, 4)
     fleet.entries[0].kill()
     at_death = len(count_starts(fleet))
     again = send_job(fleet.entries[1], make_job(20, run_ms=20))
@@ -58,8 +58,8 @@
     Cause: after a dead stream the entry doesn't know what started.
     """
     start_desk(fleet, agents=2, proxied=True)
-    job = in_background(send_job, fleet.entries[0], make_job(60, run_ms=400))
-    await_running(fleet, 16)
+    job = run_in_background(send_job, fleet.entries[0], make_job(60, run_ms=400))
+    wait_for_running(fleet, 16)
     fleet.control(fleet.advertised(fleet.agents[0]), freeze=way)
     answer = job.result(timeout=30)
     assert answer.status_code == 200, answer.text
@@ -84,7 +84,8 @@
     send_request(fleet.entries[0], {"run_ms": 1})
     fleet.agents[0].freeze()
     answers = [
-        in_background(send_request, fleet.entries[0], {"run_ms": 1}) for _ in range(4)
+        run_in_background(send_request, fleet.entries[0], {"run_ms": 1})
+        for _ in range(4)
     ]
     for answer in answers:
         failed = answer.result(timeout=40)
@@ -111,10 +112,10 @@
     """
     start_desk(fleet, agents=2)
     jobs = [
-        in_background(send_request, fleet.entries[0], {"run_ms": 1500})
+        run_in_background(send_request, fleet.entries[0], {"run_ms": 1500})
         for _ in range(8)
     ]
-    await_running(fleet, 8)
+    wait_for_running(fleet, 8)
     fleet.agents[0].kill()
     fleet.restart_agent(fleet.agents[0])
     outcomes = [job.result(timeout=30) for job in jobs]
--- a/tests/failures/test_stopping.py
+++ b/tests/failures/test_stopping.py
@@ -8,7 +8,7 @@
 import pytest
 from standins.fleet import Fleet, Running, wait_for
 
-from tests.lib.scenes import base_url, start_desk
+from tests.lib.fleet_helpers import base_url, start_desk
 
 pytestmark = pytest.mark.processes
 
--- a/tests/lib/scenes.py
+++ b/tests/lib/fleet_helpers.py
@@ -10,7 +10,7 @@
 from standins.fleet import Fleet, Running, wait_for
 
 DEMO = Path(__file__).parent.parent.parent / "demo"
-Answer = concurrent.futures.Future
+AnswerFuture = concurrent.futures.Future
 
 
 def start_desk(
@@ -70,9 +70,9 @@
     return httpx.post(url, json=job, timeout=60)
 
 
-def in_background(function: Any, *arguments: Any, **named: Any) -> Answer:
+def run_in_background(function: Any, *arguments: Any, **named: Any) -> AnswerFuture:
     """Run a call in a thread and hand back its future."""
-    future: Answer = Answer()
+    future: AnswerFuture = AnswerFuture()
 
     def work() -> None:
         try:
@@ -102,7 +102,7 @@
     return keys
 
 
-def await_running(fleet: Fleet, count: int) -> None:
+def wait_for_running(fleet: Fleet, count: int) -> None:
     """Wait until endpoints run so many tasks at once."""
     wait_for(
         lambda: sum(fleet.record(each)["running"] for each in fleet.endpoints) >= count,
--- a/tests/lib/runs_world.py
+++ b/tests/lib/run_cluster.py
@@ -62,13 +62,13 @@
 from godwitbank._internal.models.messages import Role
 from godwitbank._internal.models.resources import Resources
 
-LINK_DELAY = 0.001
-CALL_DELAY = 0.002
-LOCAL_RESTART = 0.6
-STORE_DELAY = 0.005
+LINK_DELAY_SECONDS = 0.001
+CALL_DELAY_SECONDS = 0.002
+LOCAL_RESTART_SECONDS = 0.6
+STORE_DELAY_SECONDS = 0.005
 ZONE = "zone-1"
 
-EVACUATION_BOUND = 5.0
+EVACUATION_BOUND_SECONDS = 5.0
 """Seconds after an evacuation from which nothing may start there (users' bound)."""
 
 QUEUE = QueueRules("checks", "desk", "/checks/", "desk", 1, 3, 1.6, 0.06)
@@ -86,40 +86,40 @@
 class Process:
     """One process: its core, its streams, and whether it runs."""
 
-    def __init__(self, world: "RunsWorld", name: str, core: Any) -> None:
+    def __init__(self, world: "RunCluster", name: str, core: Any) -> None:
         self.world = world
         self.name = name
         self.core = core
-        self.frozen = False
+        self.suspended = False
         self.dead = False
-        self.backlog: list[object] = []
-        self.streams: dict[int, Wire] = {}
+        self.pending_events: list[object] = []
+        self.streams: dict[int, StreamEnd] = {}
         self.generation = 0
 
-    def give(self, event: object) -> None:
+    def deliver_event(self, event: object) -> None:
         """Let the core handle an event, or keep it while the process is frozen."""
         if self.dead:
             return
-        if self.frozen:
-            self.backlog.append(event)
+        if self.suspended:
+            self.pending_events.append(event)
             return
         actions = self.core.handle(event, self.world.now)
         self.world.perform(self, actions)
         self.world.schedule_wakeup(self)
 
 
-class Wire:
+class StreamEnd:
     """One end of a stream."""
 
     def __init__(self, number: int, owner: Process) -> None:
         self.number = number
         self.owner = owner
-        self.other: Wire | None = None
+        self.other: StreamEnd | None = None
         self.closed = False
-        self.silent = False
+        self.loses_frames = False
 
 
-class RunsWorld:
+class RunCluster:
     """A deployment in one clock."""
 
     def __init__(
@@ -138,23 +138,23 @@
         self.processes: dict[str, Process] = {}
         self.endpoints: dict[str, FakeEndpoint | None] = {}
         self.results: dict[str, list[JobResult]] = defaultdict(list)
-        self.results_at: dict[str, list[tuple[JobResult, float]]] = defaultdict(list)
+        self.timed_results: dict[str, list[tuple[JobResult, float]]] = defaultdict(list)
         self.checking = True
         self.specs: dict[str, JobSpec] = {}
-        self.notes: list[tuple[float, str, LogDecision]] = []
-        self.quiet: set[str] = set()
-        self.kept: dict[str, EndpointReport] = {}
-        self.cut: set[frozenset[str]] = set()
-        self.lose_start: Callable[[OrderStart], float | None] = lambda order: None
+        self.log_decisions: list[tuple[float, str, LogDecision]] = []
+        self.shut_down: set[str] = set()
+        self.stored_reports: dict[str, EndpointReport] = {}
+        self.cut_links: set[frozenset[str]] = set()
+        self.start_loss_delay: Callable[[OrderStart], float | None] = lambda order: None
         """Seconds after which an order whose answer is lost is carried out."""
-        self.lose_hold: Callable[[str], bool] = lambda agent: False
+        self.loses_renewal: Callable[[str], bool] = lambda agent: False
         self._delays: dict[tuple[str, str], float] = {}
         self.jobs: dict[int, str] = {}
-        self.faults: list[str] = []
+        self.violations: list[str] = []
         self.zones: dict[str, str] = {}
-        self.evacuated: dict[str, float] = {}
+        self.evacuated_since: dict[str, float] = {}
         """Zones that are evacuated, and since when."""
-        self.store_away: set[str] = set()
+        self.without_store: set[str] = set()
         """Processes that can't reach the store."""
         self._revision = 1
         self._starts_seen: dict[str, int] = {}
@@ -169,7 +169,7 @@
     def add_entry(
         self,
         name: str,
-        make: Callable[["RunsWorld", str, Any], Process] = Process,
+        make_process: Callable[["RunCluster", str, Any], Process] = Process,
         zone: str = ZONE,
     ) -> Process:
         """Start an entry, by default as a process that always keeps up."""
@@ -184,12 +184,12 @@
             entries_per_agent=self.entries_per_agent,
             deployment=self.deployment,
         )
-        process = self.processes[name] = make(self, name, core)
-        if name not in self.store_away:
-            process.give(EvacuationRead(self._read_evacuation()))
-            process.give(ConfigurationRead(self.configuration))
+        process = self.processes[name] = make_process(self, name, core)
+        if name not in self.without_store:
+            process.deliver_event(EvacuationRead(self._read_evacuation()))
+            process.deliver_event(ConfigurationRead(self.configuration))
         others = [each.name for each in self._list(RunEntryCore)]
-        process.give(AddressesRead(tuple(others)))
+        process.deliver_event(AddressesRead(tuple(others)))
         return process
 
     def add_agent(
@@ -207,12 +207,12 @@
         process = Process(self, name, core)
         self.processes[name] = process
         entries = [each.name for each in self._list(RunEntryCore)]
-        process.give(AddressesRead(tuple(entries)))
+        process.deliver_event(AddressesRead(tuple(entries)))
         if self.endpoints.get(name) is None:
-            self.boot_endpoint(name, capacity)
+            self.start_endpoint(name, capacity)
         return process
 
-    def boot_endpoint(self, name: str, capacity: Resources = CAPACITY) -> FakeEndpoint:
+    def start_endpoint(self, name: str, capacity: Resources = CAPACITY) -> FakeEndpoint:
         """Start an endpoint beside an agent."""
         instance = f"i-{name}-{next(self._sequence)}"
         base = 10**6 + 10**5 * next(self._sequence)
@@ -226,8 +226,8 @@
         if self.endpoints.get(name) is not endpoint:
             return
         process = self.processes.get(name)
-        if process is not None and not process.dead and not process.frozen:
-            process.give(ReportReceived(endpoint.report(self.now)))
+        if process is not None and not process.dead and not process.suspended:
+            process.deliver_event(ReportReceived(endpoint.report(self.now)))
         self.after(
             self.deployment.report_interval_seconds,
             lambda: self._report(name, endpoint),
@@ -276,8 +276,8 @@
         delay = max(0.001, process.core.next_wakeup - self.now)
 
         def wake() -> None:
-            if process.generation == generation and not process.frozen:
-                process.give(Tick())
+            if process.generation == generation and not process.suspended:
+                process.deliver_event(Tick())
 
         self.after(delay, wake)
 
@@ -285,24 +285,24 @@
 
     def evacuate(self, zone: str) -> None:
         """Ask that nothing new be started in a zone."""
-        self.evacuated.setdefault(zone, self.now)
-        self.tell_evacuation()
+        self.evacuated_since.setdefault(zone, self.now)
+        self.announce_evacuation()
 
-    def take_back(self, zone: str) -> None:
+    def end_evacuation(self, zone: str) -> None:
         """End a zone's evacuation."""
-        self.evacuated.pop(zone, None)
-        self.tell_evacuation()
+        self.evacuated_since.pop(zone, None)
+        self.announce_evacuation()
 
     def _read_evacuation(self) -> Evacuation:
-        return Evacuation(frozenset(self.evacuated), self._revision)
+        return Evacuation(frozenset(self.evacuated_since), self._revision)
 
-    def tell_evacuation(self) -> None:
+    def announce_evacuation(self) -> None:
         """Let the entries that reach the store read what is evacuated."""
         self._revision += 1
         read = EvacuationRead(self._read_evacuation())
         for process in self._list(RunEntryCore):
-            if process.name not in self.store_away:
-                self.after(STORE_DELAY, partial(process.give, read))
+            if process.name not in self.without_store:
+                self.after(STORE_DELAY_SECONDS, partial(process.deliver_event, read))
 
     # What must never happen
 
@@ -321,44 +321,47 @@
             for task in endpoint.alive:
                 if task in seen:
                     fault = f"{self.now:.3f}: {task} at {seen[task]} and {name}"
-                    self.faults.append(fault)
+                    self.violations.append(fault)
                 seen[task] = name
                 used += self._find_cpu(task)
             if used > endpoint.capacity.cpu:
-                self.faults.append(f"{self.now:.3f}: {name} is over its capacity")
-        assert not self.faults, self.faults[0]
+                self.violations.append(f"{self.now:.3f}: {name} is over its capacity")
+        assert not self.violations, self.violations[0]
 
     def _check_starts(self) -> None:
         for name, endpoint in self.endpoints.items():
-            since = self.evacuated.get(self.zones.get(name, ZONE))
+            since = self.evacuated_since.get(self.zones.get(name, ZONE))
             if endpoint is None:
                 continue
             seen = self._starts_seen.get(endpoint.instance, 0)
             self._starts_seen[endpoint.instance] = len(endpoint.started)
             for at, task, _ in endpoint.started[seen:]:
-                if since is not None and at > since + EVACUATION_BOUND:
+                if since is not None and at > since + EVACUATION_BOUND_SECONDS:
                     fault = f"{at:.3f}: {task} began at {name}, evacuated at {since}"
-                    self.faults.append(fault)
+                    self.violations.append(fault)
 
     def _find_cpu(self, task: str) -> int:
         return self.specs[task.partition(".")[0]].steps[0].needs.cpu
 
     # Callers
 
-    def submit(self, entry: str, spec: JobSpec, patience: float = 10.0) -> int:
+    def submit(self, entry: str, spec: JobSpec, timeout_seconds: float = 10.0) -> int:
         """Hand a job to an entry."""
         self.specs[spec.job] = spec
         caller = next(self._callers)
         self.jobs[caller] = spec.job
         process = self.processes[entry]
-        self.after(0.0, lambda: process.give(JobSubmitted(caller, spec, patience)))
+        self.after(
+            0.0,
+            lambda: process.deliver_event(JobSubmitted(caller, spec, timeout_seconds)),
+        )
         return caller
 
-    def hang_up(self, entry: str, caller: int) -> None:
+    def disconnect_caller(self, entry: str, caller: int) -> None:
         """Let a caller's connection break."""
-        self.processes[entry].give(CallerDisconnected(caller))
+        self.processes[entry].deliver_event(CallerDisconnected(caller))
 
-    def get_ends(self, job: str) -> list[str]:
+    def list_ends(self, job: str) -> list[str]:
         """List how a job ended, as its callers were told."""
         return [str(result.end) for result in self.results[job]]
 
@@ -371,7 +374,7 @@
         for wire in list(process.streams.values()):
             self._close(wire)
 
-    def darken(self, name: str) -> None:
+    def power_off(self, name: str) -> None:
         """Take the power of a process's VM: nothing is reset."""
         self.processes[name].dead = True
 
@@ -379,50 +382,50 @@
         """End an endpoint without a word."""
         self.endpoints[name] = None
 
-    def freeze(self, name: str) -> None:
+    def suspend(self, name: str) -> None:
         """Suspend a process."""
-        self.processes[name].frozen = True
+        self.processes[name].suspended = True
 
-    def thaw(self, name: str) -> None:
+    def resume(self, name: str) -> None:
         """Let a suspended process go on; it finds what came meanwhile."""
         process = self.processes[name]
-        process.frozen = False
-        backlog, process.backlog = process.backlog, []
+        process.suspended = False
+        backlog, process.pending_events = process.pending_events, []
         for event in backlog:
-            process.give(event)
-        process.give(Tick())
+            process.deliver_event(event)
+        process.deliver_event(Tick())
 
     def cut_link(self, one: str, other: str) -> None:
         """Cut two processes off from each other; frames are lost silently."""
-        self.cut.add(frozenset((one, other)))
+        self.cut_links.add(frozenset((one, other)))
 
-    def silence_streams(self, choose: Callable[[], bool] = lambda: True) -> None:
+    def blackhole_streams(self, choose: Callable[[], bool] = lambda: True) -> None:
         """Let streams that are open go silent for good; new ones work.
 
         :param choose: tells for each end of a stream whether it goes silent.
         """
         for process in self.processes.values():
             for wire in process.streams.values():
-                wire.silent = wire.silent or choose()
+                wire.loses_frames = wire.loses_frames or choose()
 
     def delay_frames(self, sender: str, receiver: str, seconds: float) -> None:
         """Let frames from one process to another arrive later from now on."""
         self._delays[(sender, receiver)] = seconds
 
-    def heal(self) -> None:
+    def restore_links(self) -> None:
         """End all cuts."""
-        self.cut.clear()
+        self.cut_links.clear()
 
     def stop(self, name: str) -> None:
         """Ask a process to end in an orderly way."""
-        self.processes[name].give(StopRequested())
+        self.processes[name].deliver_event(StopRequested())
 
     def leave(self, name: str) -> None:
         """Let an endpoint say that it ends, and end."""
         endpoint = self.endpoints[name]
         assert endpoint is not None
         self.endpoints[name] = None
-        self.processes[name].give(EndpointExiting(endpoint.instance))
+        self.processes[name].deliver_event(EndpointExiting(endpoint.instance))
 
     # Actions
 
@@ -446,38 +449,38 @@
             elif isinstance(action, AnswerCaller):
                 self.results[action.result.job].append(action.result)
                 told = (action.result, self.now)
-                self.results_at[action.result.job].append(told)
+                self.timed_results[action.result.job].append(told)
             elif isinstance(action, LogDecision):
                 if self.checking:
-                    self.notes.append((self.now, process.name, action))
+                    self.log_decisions.append((self.now, process.name, action))
             elif isinstance(action, StoreReport):
-                self.kept[process.name] = action.report
+                self.stored_reports[process.name] = action.report
             elif isinstance(action, ShutdownComplete):
-                self.quiet.add(process.name)
+                self.shut_down.add(process.name)
 
     def _is_cut(self, one: Process, other: Process) -> bool:
-        return frozenset((one.name, other.name)) in self.cut
+        return frozenset((one.name, other.name)) in self.cut_links
 
     def _dial(self, process: Process, address: str) -> None:
         target = self.processes.get(address)
 
         def connect() -> None:
             # A suspended process's kernel takes the connection; nobody greets.
-            reachable = target is not None and not (target.dead or target.frozen)
+            reachable = target is not None and not (target.dead or target.suspended)
             if not reachable or target is None or self._is_cut(process, target):
-                process.give(StreamClosed(0, address))
+                process.deliver_event(StreamClosed(0, address))
                 return
-            mine = Wire(next(self._streams), process)
-            theirs = Wire(next(self._streams), target)
+            mine = StreamEnd(next(self._streams), process)
+            theirs = StreamEnd(next(self._streams), target)
             mine.other, theirs.other = theirs, mine
             process.streams[mine.number] = mine
             target.streams[theirs.number] = theirs
             hello = make_hello(process.core.identity, self._role(process))
-            target.give(StreamOpened(theirs.number, hello))
+            target.deliver_event(StreamOpened(theirs.number, hello))
             welcome = make_hello(target.core.identity, self._role(target))
-            process.give(StreamOpened(mine.number, welcome, address))
+            process.deliver_event(StreamOpened(mine.number, welcome, address))
 
-        self.after(LINK_DELAY, connect)
+        self.after(LINK_DELAY_SECONDS, connect)
 
     def _role(self, process: Process) -> Role:
         return Role.ENTRY if isinstance(process.core, RunEntryCore) else Role.AGENT
@@ -496,18 +499,18 @@
         def deliver() -> None:
             if wire.closed or other.closed or self._is_cut(process, other.owner):
                 return
-            if wire.silent:
+            if wire.loses_frames:
                 return
-            other.owner.give(Received(other.number, action.message))
+            other.owner.deliver_event(Received(other.number, action.message))
 
         held_up = self._delays.get((process.name, other.owner.name), 0.0)
-        self.after(LINK_DELAY + held_up, deliver)
+        self.after(LINK_DELAY_SECONDS + held_up, deliver)
 
-    def _close(self, wire: Wire) -> None:
+    def _close(self, wire: StreamEnd) -> None:
         wire.closed = True
         wire.owner.streams.pop(wire.number, None)
         other = wire.other
-        if other is None or other.closed or wire.silent:
+        if other is None or other.closed or wire.loses_frames:
             return
 
         def reset() -> None:
@@ -515,28 +518,28 @@
                 return
             other.closed = True
             other.owner.streams.pop(other.number, None)
-            other.owner.give(StreamClosed(other.number))
+            other.owner.deliver_event(StreamClosed(other.number))
 
-        self.after(LINK_DELAY, reset)
+        self.after(LINK_DELAY_SECONDS, reset)
 
     def _start(self, process: Process, order: OrderStart) -> None:
         endpoint = self.endpoints.get(process.name)
         seconds = self._find_seconds(order)
-        late = self.lose_start(order)
+        late = self.start_loss_delay(order)
         lost = StartAnswered(
             order.task, order.run, StartVerdict.NO_ANSWER, order.token, None
         )
         if endpoint is None or late is not None:
             if endpoint is not None and late is not None:
                 self.after(late, lambda: self._start_late(endpoint, order, seconds))
-            self.after(order.timeout_seconds, lambda: process.give(lost))
+            self.after(order.timeout_seconds, lambda: process.deliver_event(lost))
             return
 
         def carry_out() -> None:
             answer = endpoint.start(order, self.now, seconds)
-            self.after(CALL_DELAY, lambda: process.give(answer))
+            self.after(CALL_DELAY_SECONDS, lambda: process.deliver_event(answer))
 
-        self.after(CALL_DELAY, carry_out)
+        self.after(CALL_DELAY_SECONDS, carry_out)
 
     def _find_seconds(self, order: OrderStart) -> float:
         times = order.payload.split(",")
@@ -550,14 +553,14 @@
     def _order_stop(self, process: Process, order: OrderStop) -> None:
         endpoint = self.endpoints.get(process.name)
         if endpoint is not None:
-            self.after(CALL_DELAY, lambda: endpoint.stop(order, self.now))
+            self.after(CALL_DELAY_SECONDS, lambda: endpoint.stop(order, self.now))
 
     def _renew(self, process: Process, order: RenewLease) -> None:
         endpoint = self.endpoints.get(process.name)
-        if endpoint is None or self.lose_hold(process.name):
+        if endpoint is None or self.loses_renewal(process.name):
             failed = RenewalFailed(order.renewal, RenewalVerdict.NO_ANSWER, None)
             delay = order.timeout_seconds + order.wait / 1000
-            self.after(delay, lambda: process.give(failed))
+            self.after(delay, lambda: process.deliver_event(failed))
             return
 
         def carry_out() -> None:
@@ -571,8 +574,8 @@
                     if not answer.ended and self.now < until:
                         self.after(0.005, poll)
                         return
-                self.after(CALL_DELAY, lambda: process.give(answer))
+                self.after(CALL_DELAY_SECONDS, lambda: process.deliver_event(answer))
 
             poll()
 
-        self.after(CALL_DELAY, carry_out)
+        self.after(CALL_DELAY_SECONDS, carry_out)
--- a/tests/lib/runs_load.py
+++ b/tests/lib/run_load.py
@@ -14,10 +14,10 @@
     StepSpec,
 )
 from godwitbank._internal.models.resources import Resources
-from tests.lib.runs_world import RunsWorld
+from tests.lib.run_cluster import RunCluster
 
 
-class Kind(NamedTuple):
+class QueueLoad(NamedTuple):
     """One queue's load.
 
     :param share: jobs of this kind among all.
@@ -37,16 +37,16 @@
     return QueueRules(name, "desk", f"/{name}/", "desk", priority, 3, 1.6, 0.06)
 
 
-KINDS = (
-    Kind(_make_queue("short", 0), 0.245, 8, 0.12, 0.0291),
-    Kind(_make_queue("long", 2), 0.045, 4, 1.8, 0.16),
-    Kind(_make_queue("middling", 1), 0.71, 2, 0.4, 0.01),
+QUEUE_LOADS = (
+    QueueLoad(_make_queue("short", 0), 0.245, 8, 0.12, 0.0291),
+    QueueLoad(_make_queue("long", 2), 0.045, 4, 1.8, 0.16),
+    QueueLoad(_make_queue("middling", 1), 0.71, 2, 0.4, 0.01),
 )
-CPU = 1600
-SPREAD = 0.4
+TASK_CPU = 1600
+LOGNORMAL_SIGMA = 0.4
 
 
-class Served(NamedTuple):
+class LoadResult(NamedTuple):
     """What callers got.
 
     :param worth: share of the worth of all jobs that was earned.
@@ -56,7 +56,7 @@
     """
 
     worth: float
-    by_kind: tuple[float, ...]
+    by_queue: tuple[float, ...]
     late: float
     refused: float
 
@@ -68,13 +68,13 @@
     worth: float
 
 
-class Load:
+class LoadGenerator:
     """Submits jobs at a rate and watches what becomes of them."""
 
     def __init__(self, seed: int, entries: int = 3, agents: int = 11) -> None:
         self.rng = Random(seed)
-        queues = tuple(kind.queue for kind in KINDS)
-        self.world = RunsWorld(seed, Configuration(1, queues, 10**6))
+        queues = tuple(kind.queue for kind in QUEUE_LOADS)
+        self.world = RunCluster(seed, Configuration(1, queues, 10**6))
         self.world.checking = False
         self._entries = [f"entry-{number}" for number in range(entries)]
         for name in self._entries:
@@ -86,7 +86,7 @@
         self._sent: dict[str, _Sent] = {}
         self._number = 0
 
-    def play(self, per_second: float, seconds: float) -> None:
+    def submit_jobs(self, per_second: float, seconds: float) -> None:
         """Submit jobs for a while."""
         until = self.world.now + seconds
         while self.world.now < until:
@@ -94,16 +94,16 @@
             self._submit()
 
     def _submit(self) -> None:
-        weights = [kind.share for kind in KINDS]
-        position = self.rng.choices(range(len(KINDS)), weights)[0]
-        kind = KINDS[position]
+        weights = [kind.share for kind in QUEUE_LOADS]
+        position = self.rng.choices(range(len(QUEUE_LOADS)), weights)[0]
+        kind = QUEUE_LOADS[position]
         self._number += 1
         width = min(4 * kind.width, max(1, round(kind.width * self._draw())))
         mean = kind.seconds * self._draw()
         runs = [mean * self.rng.uniform(0.85, 1.15) for _ in range(width)]
         guess = mean * self.rng.lognormvariate(0, 0.4)
         name = f"job{self._number}"
-        needs = Resources(CPU, 64, 0)
+        needs = Resources(TASK_CPU, 64, 0)
         step = StepSpec(width, needs, guess)
         spec = JobSpec(name, kind.queue.name, ",".join(map(str, runs)), (step,))
         work = sum(runs) / (kind.width * kind.seconds)
@@ -113,17 +113,17 @@
         self.world.submit(self.rng.choice(self._entries), spec)
 
     def _draw(self) -> float:
-        return self.rng.lognormvariate(-(SPREAD**2) / 2, SPREAD)
+        return self.rng.lognormvariate(-(LOGNORMAL_SIGMA**2) / 2, LOGNORMAL_SIGMA)
 
-    def list_sent(self) -> dict[str, float]:
+    def list_submit_times(self) -> dict[str, float]:
         """Tell when each job was submitted."""
         return {name: sent.at for name, sent in self._sent.items()}
 
-    def settle(self) -> Served:
+    def finish(self) -> LoadResult:
         """Let everything end, and sum up."""
         self.world.run(12.0)
-        earned = [0.0] * len(KINDS)
-        owed = [0.0] * len(KINDS)
+        earned = [0.0] * len(QUEUE_LOADS)
+        owed = [0.0] * len(QUEUE_LOADS)
         late = refused = 0
         for name, sent in self._sent.items():
             owed[sent.kind] += sent.worth
@@ -141,10 +141,10 @@
         )
         jobs = len(self._sent)
         worth = sum(earned) / sum(owed)
-        return Served(worth, shares, late / jobs, refused / jobs)
+        return LoadResult(worth, shares, late / jobs, refused / jobs)
 
     def _measure(self, name: str, sent: _Sent) -> float | None:
-        for result, at in self.world.results_at.get(name, ()):
+        for result, at in self.world.timed_results.get(name, ()):
             if result.end == "completed":
                 return at - sent.at
         return None
--- a/tests/lib/virtual_time.py
+++ b/tests/lib/virtual_time.py
@@ -33,7 +33,7 @@
         return self._jumping.now
 
 
-def run_virtually(main: Coroutine[Any, Any, None]) -> None:
+def run_in_virtual_time(main: Coroutine[Any, Any, None]) -> None:
     """Run a coroutine to its end in a new loop."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         runner.run(main)
--- a/tests/platform/test_watch.py
+++ b/tests/platform/test_watch.py
@@ -16,7 +16,7 @@
 from godwitbank._internal.network.http_client import NoAnswerError
 from godwitbank._internal.platform.operators import OperatorTableWatcher, Subscriber
 from godwitbank._internal.platform.store import StoreClient
-from tests.lib.virtual_time import run_virtually
+from tests.lib.virtual_time import run_in_virtual_time
 
 PHASES = [step * 0.07 for step in range(40)]
 """Seconds by which the moment of a fault is shifted, over a look and its failure."""
@@ -184,7 +184,7 @@
             assert 2 in scene.heard_at
 
     for phase in PHASES:
-        run_virtually(play(phase))
+        run_in_virtual_time(play(phase))
 
 
 @pytest.mark.parametrize("deployment", BOUNDS)
@@ -203,7 +203,7 @@
             assert 2 in scene.heard_at
 
     for phase in PHASES:
-        run_virtually(play(phase))
+        run_in_virtual_time(play(phase))
 
 
 @pytest.mark.parametrize("garbage", [b"", b"{", DEEP, b'{"rows": 7}'])
@@ -218,7 +218,7 @@
             await asyncio.sleep(DEFAULT_DEPLOYMENT.change_timeout_seconds)
             assert 2 in scene.heard_at
 
-    run_virtually(play())
+    run_in_virtual_time(play())
 
 
 def test_a_version_that_can_not_be_decoded_hides_no_later_one() -> None:
@@ -232,7 +232,7 @@
             assert sorted(scene.heard_at) == [1, 3]
             assert scene.counts.get("rows_unusable", "op") == 1
 
-    run_virtually(play())
+    run_in_virtual_time(play())
 
 
 @pytest.mark.parametrize("entries", [1, 3, 35, 1300, 5000])
@@ -245,7 +245,7 @@
             share = DEFAULT_DEPLOYMENT.store_reads_per_second / 5 / entries
             assert len(scene.store.looks) <= 2 + seconds * min(1.0, share)
 
-    run_virtually(play())
+    run_in_virtual_time(play())
 
 
 def test_the_log_tells_how_long_the_store_was_not_heard() -> None:
@@ -266,4 +266,4 @@
             silence = read[1]["silence"]
             assert isinstance(silence, float) and silence > LONG
 
-    run_virtually(play())
+    run_in_virtual_time(play())
