--- a/tests/lib/__init__.py
+++ b/tests/lib/__init__.py
@@ -1,1 +1,1 @@
-"""Helpers of the tests."""
+"""Helpers shared by the tests."""
--- a/tests/lib/busy_process.py
+++ b/tests/lib/busy_process.py
@@ -1,9 +1,10 @@
-"""Processes of ``RunsWorld`` whose work takes processor time.
+"""Processes of ``RunCluster`` whose work takes processor time.
 
-Elsewhere in the tests a core handles an event in no time, so that a process always
-keeps up. Here each event waits for those before it, as what arrives at a socket does,
-and takes as long as it took on loopback (``/proc`` times of an entry beside stand-ins:
-2.3 ms a job of two tasks, 3.2 ms of four) divided by the process's share of a core.
+Elsewhere in the tests a core handles an event in no time, so that a process is never
+overloaded. Here events are queued, as frames are in a socket buffer, and each one
+takes the processor time that was measured on loopback, divided by the process's share
+of a core. The times come from ``/proc`` for an entry that runs beside stand-ins: 2.3 ms
+for a job of two tasks and 3.2 ms for a job of four.
 """
 
 from collections import deque
@@ -23,97 +24,103 @@
 from tests.lib.run_cluster import Process, RunCluster
 
 READ_CORE_SECONDS = 0.0005
-"""Core-seconds to read a caller's request, whatever becomes of it."""
+"""Processor time to read a caller's request, whether or not the job is accepted."""
 
 SHED_CORE_SECONDS = 0.00025
-"""The same for a request that is refused without being read."""
+"""Processor time to refuse a request without reading it."""
 
 ACCEPT_CORE_SECONDS = 0.0006
-"""Core-seconds to take a job."""
+"""Processor time to accept a job."""
 
 ANSWER_CORE_SECONDS = 0.0002
-"""Core-seconds to answer a caller."""
+"""Processor time to answer a caller."""
 
 ORDER_CORE_SECONDS = 0.00025
-"""Core-seconds to choose an agent and send it an order."""
+"""Processor time to choose an agent and send it an order."""
 
 OUTCOME_CORE_SECONDS = 0.0002
-"""Core-seconds to act on the end of a run."""
+"""Processor time to handle the outcome of a run."""
 
 OTHER_CORE_SECONDS = 0.00005
-"""Core-seconds of any other frame, heard or sent."""
+"""Processor time to receive or send any other frame."""
 
 RETRY_DELAY_SECONDS = 1.3
-"""Seconds after which a caller without an answer comes again."""
+"""Delay after which a caller that timed out submits its job again."""
 
 
 class ProcessedEvent(NamedTuple):
-    """What one event led to, and how long it kept the processor, in seconds."""
+    """The result of handling one event.
+
+    :param seconds: how long the event occupied the processor.
+    :param actions: what the core requested in response.
+    """
 
     seconds: float
     actions: list[Any]
 
 
 class BusyProcess(Process):
-    """A process with a share of a core.
+    """A process that handles its events one after another, at a limited speed.
 
-    :param share: cores it may use.
+    :param share: fraction of a processor core that the process may use.
     """
 
     def __init__(self, world: RunCluster, name: str, core: Any, share: float) -> None:
         super().__init__(world, name, core)
         self._share = share
         self._queue: deque[Callable[[], ProcessedEvent]] = deque()
-        self._working = False
-        self._ask_for_timer()
+        self._is_busy = False
+        self._schedule_lag_measurement()
 
     def deliver_event(self, event: object) -> None:
-        """Queue an event behind those that came before."""
+        """Append an event to the queue of the process."""
         self._queue.append(lambda: self._handle(event))
-        self._work()
+        self._handle_next()
 
-    def _ask_for_timer(self) -> None:
+    def _schedule_lag_measurement(self) -> None:
         due_at = self.world.now + ENTRY_INTERVAL_SECONDS
 
-        def fire() -> None:
-            self._queue.append(lambda: self._tell_lag(due_at))
-            self._work()
+        def enqueue_measurement() -> None:
+            self._queue.append(lambda: self._measure_lag(due_at))
+            self._handle_next()
 
-        self.world.after(ENTRY_INTERVAL_SECONDS, fire)
+        self.world.after(ENTRY_INTERVAL_SECONDS, enqueue_measurement)
 
-    def _tell_lag(self, due_at: float) -> ProcessedEvent:
-        self._ask_for_timer()
+    def _measure_lag(self, due_at: float) -> ProcessedEvent:
+        self._schedule_lag_measurement()
         return self._handle(LagMeasured(self.world.now - due_at))
 
     def _handle(self, event: object) -> ProcessedEvent:
         if isinstance(event, JobSubmitted) and self.core.sheds_load:
-            # As the programs do, ahead of the core.
+            # The real entry refuses such a request before it reaches the core.
             job = event.spec.job
             result = JobResult(job, JobEnd.REFUSED, "no_processor", False, 1.0)
             return ProcessedEvent(
                 SHED_CORE_SECONDS / self._share, [AnswerCaller(event.caller, result)]
             )
         actions: list[Any] = self.core.handle(event, self.world.now)
-        cost = _price(event) + sum(_price_action(action) for action in actions)
+        cost = _find_event_cost(event) + sum(
+            _find_action_cost(action) for action in actions
+        )
         return ProcessedEvent(cost / self._share, actions)
 
-    def _work(self) -> None:
-        if self._working or self.dead or not self._queue:
+    def _handle_next(self) -> None:
+        if self._is_busy or self.dead or not self._queue:
             return
-        self._working = True
-        turn = self._queue.popleft()()
+        self._is_busy = True
+        processed = self._queue.popleft()()
 
-        def finish() -> None:
-            self._working = False
+        def complete_event() -> None:
+            self._is_busy = False
             if not self.dead:
-                self.world.perform(self, turn.actions)
+                self.world.perform(self, processed.actions)
                 self.world.schedule_wakeup(self)
-                self._work()
+                self._handle_next()
 
-        self.world.after(turn.seconds, finish)
+        self.world.after(processed.seconds, complete_event)
 
 
-def _price(event: object) -> float:
+def _find_event_cost(event: object) -> float:
     if isinstance(event, JobSubmitted):
         return READ_CORE_SECONDS
     if isinstance(event, Received) and isinstance(event.message, RunOutcome):
@@ -121,7 +128,7 @@
     return 0.0 if isinstance(event, Tick) else OTHER_CORE_SECONDS
 
 
-def _price_action(action: object) -> float:
+def _find_action_cost(action: object) -> float:
     if isinstance(action, AnswerCaller):
         return ANSWER_CORE_SECONDS
     if isinstance(action, LogDecision):
@@ -133,7 +140,12 @@
 
 
 class SubmittedJob(NamedTuple):
-    """A job, when its caller came first, and where."""
+    """A job as its caller submitted it first.
+
+    :param spec: the job.
+    :param submitted_at: time of the first attempt, in seconds.
+    :param entry: name of the entry that received it.
+    """
 
     spec: JobSpec
     submitted_at: float
@@ -141,41 +153,46 @@
 
 
 class Callers:
-    """Callers who wait for a while, hang up, and come again once."""
+    """Callers that disconnect after a timeout and submit their job once more.
+
+    :param timeout_seconds: how long a caller waits for an answer.
+    """
 
     def __init__(self, world: RunCluster, timeout_seconds: float) -> None:
         self.submitted: list[SubmittedJob] = []
         self._world = world
-        self._patience = timeout_seconds
+        self._timeout_seconds = timeout_seconds
 
     def submit(self, entry: str, spec: JobSpec) -> None:
-        """Hand in a job."""
-        asked = SubmittedJob(spec, self._world.now, entry)
-        self.submitted.append(asked)
-        self._try(asked, resends=1)
+        """Submit a job to an entry."""
+        job = SubmittedJob(spec, self._world.now, entry)
+        self.submitted.append(job)
+        self._attempt(job, retries=1)
 
-    def _try(self, asked: SubmittedJob, resends: int) -> None:
+    def _attempt(self, job: SubmittedJob, retries: int) -> None:
         world = self._world
-        caller = world.submit(asked.entry, asked.spec, self._patience)
+        caller = world.submit(job.entry, job.spec, self._timeout_seconds)
 
-        def look() -> None:
-            if world.results[asked.spec.job]:
+        def handle_timeout() -> None:
+            if world.results[job.spec.job]:
                 return
-            world.disconnect_caller(asked.entry, caller)
-            if resends:
-                world.after(RETRY_DELAY_SECONDS, lambda: self._try(asked, resends - 1))
-
-        world.after(self._patience, look)
-
-    def find_answer_seconds(self, asked: SubmittedJob) -> float | None:
-        """Tell the seconds until a job's first answer, if any came."""
-        told = self._world.timed_results.get(asked.spec.job)
-        return told[0][1] - asked.submitted_at if told else None
-
-    def is_completed(self, asked: SubmittedJob, within_seconds: float) -> bool:
-        """Tell whether a job was completed in time."""
-        told = self._world.timed_results.get(asked.spec.job)
-        if not told:
+            world.disconnect_caller(job.entry, caller)
+            if retries:
+                world.after(
+                    RETRY_DELAY_SECONDS, lambda: self._attempt(job, retries - 1)
+                )
+
+        world.after(self._timeout_seconds, handle_timeout)
+
+    def find_answer_seconds(self, job: SubmittedJob) -> float | None:
+        """Return the seconds until a job's first answer, or None without an answer."""
+        results = self._world.timed_results.get(job.spec.job)
+        return results[0][1] - job.submitted_at if results else None
+
+    def is_completed(self, job: SubmittedJob, within_seconds: float) -> bool:
+        """Return whether the first answer reports completion in time."""
+        results = self._world.timed_results.get(job.spec.job)
+        if not results:
             return False
-        result, at = told[0]
-        return result.end == "completed" and at - asked.submitted_at <= within_seconds
+        result, at = results[0]
+        return result.end == "completed" and at - job.submitted_at <= within_seconds
--- a/tests/lib/run_load.py
+++ b/tests/lib/run_load.py
@@ -1,7 +1,8 @@
-"""Load for ``RunsWorld``: three queues like the users', and what callers got.
+"""Load generator for ``RunCluster``.
 
-The queues differ as the users' do: many short tasks that are urgent, a few long
-ones, and many middling ones that weigh little each.
+The load has three queues, modelled on those of the users: urgent jobs of many short
+tasks, a few jobs of long tasks, and many jobs of medium length that are worth little
+each.
 """
 
 from random import Random
@@ -18,12 +19,13 @@
 
 
 class QueueLoad(NamedTuple):
-    """One queue's load.
+    """The load on one queue.
 
-    :param share: jobs of this kind among all.
+    :param queue: rules of the queue.
+    :param share: fraction of all jobs that go to this queue.
     :param width: mean number of tasks of a job.
-    :param seconds: mean run time of a task.
-    :param worth: what a mean job is worth to its caller.
+    :param seconds: mean run time of a task, in seconds.
+    :param worth: worth of an average job to its caller.
     """
 
     queue: QueueRules
@@ -47,12 +49,13 @@
 
 
 class LoadResult(NamedTuple):
-    """What callers got.
+    """Summary of the results that callers received.
 
-    :param worth: share of the worth of all jobs that was earned.
-    :param by_kind: the same for each kind.
-    :param late: share of jobs done after their objective.
-    :param refused: share of jobs refused or given up.
+    :param worth: fraction of the worth of all submitted jobs that was earned.
+    :param by_queue: the same fraction for each queue, in the order of
+        ``QUEUE_LOADS``.
+    :param late: fraction of jobs that were completed after their objective.
+    :param refused: fraction of jobs that were refused or given up.
     """
 
     worth: float
@@ -61,19 +64,19 @@
     refused: float
 
 
-class _Sent(NamedTuple):
-    kind: int
-    at: float
-    objective: float
+class _SentJob(NamedTuple):
+    load_index: int
+    submitted_at: float
+    objective_seconds: float
     worth: float
 
 
 class LoadGenerator:
-    """Submits jobs at a rate and watches what becomes of them."""
+    """Submits jobs at a given rate and collects their results."""
 
     def __init__(self, seed: int, entries: int = 3, agents: int = 11) -> None:
         self.rng = Random(seed)
-        queues = tuple(kind.queue for kind in QUEUE_LOADS)
+        queues = tuple(load.queue for load in QUEUE_LOADS)
         self.world = RunCluster(seed, Configuration(1, queues, 10**6))
         self.world.checking = False
         self._entries = [f"entry-{number}" for number in range(entries)]
@@ -83,68 +86,79 @@
             cpu = 24000 if number % 3 == 2 else 16000
             self.world.add_agent(f"agent-{number}", Resources(cpu, 65536, 0))
         self.world.run(2.0)
-        self._sent: dict[str, _Sent] = {}
+        self._sent_jobs: dict[str, _SentJob] = {}
         self._number = 0
 
     def submit_jobs(self, per_second: float, seconds: float) -> None:
-        """Submit jobs for a while."""
+        """Submit jobs with exponentially distributed gaps.
+
+        :param per_second: mean number of jobs per second.
+        :param seconds: how long to submit jobs.
+        """
         until = self.world.now + seconds
         while self.world.now < until:
             self.world.run(self.rng.expovariate(per_second))
             self._submit()
 
     def _submit(self) -> None:
-        weights = [kind.share for kind in QUEUE_LOADS]
-        position = self.rng.choices(range(len(QUEUE_LOADS)), weights)[0]
-        kind = QUEUE_LOADS[position]
+        weights = [load.share for load in QUEUE_LOADS]
+        index = self.rng.choices(range(len(QUEUE_LOADS)), weights)[0]
+        load = QUEUE_LOADS[index]
         self._number += 1
-        width = min(4 * kind.width, max(1, round(kind.width * self._draw())))
-        mean = kind.seconds * self._draw()
-        runs = [mean * self.rng.uniform(0.85, 1.15) for _ in range(width)]
-        guess = mean * self.rng.lognormvariate(0, 0.4)
+        width = min(
+            4 * load.width, max(1, round(load.width * self._draw_run_time_factor()))
+        )
+        mean_seconds = load.seconds * self._draw_run_time_factor()
+        run_seconds = [
+            mean_seconds * self.rng.uniform(0.85, 1.15) for _ in range(width)
+        ]
+        estimate = mean_seconds * self.rng.lognormvariate(0, 0.4)
         name = f"job{self._number}"
         needs = Resources(TASK_CPU, 64, 0)
-        step = StepSpec(width, needs, guess)
-        spec = JobSpec(name, kind.queue.name, ",".join(map(str, runs)), (step,))
-        work = sum(runs) / (kind.width * kind.seconds)
-        objective = kind.queue.stretch * max(runs) + kind.queue.allowance
-        worth = kind.worth * min(4.0, 0.3 + 0.7 * work)
-        self._sent[name] = _Sent(position, self.world.now, objective, worth)
+        step = StepSpec(width, needs, estimate)
+        spec = JobSpec(name, load.queue.name, ",".join(map(str, run_seconds)), (step,))
+        work = sum(run_seconds) / (load.width * load.seconds)
+        objective_seconds = load.queue.stretch * max(run_seconds) + load.queue.allowance
+        worth = load.worth * min(4.0, 0.3 + 0.7 * work)
+        self._sent_jobs[name] = _SentJob(
+            index, self.world.now, objective_seconds, worth
+        )
         self.world.submit(self.rng.choice(self._entries), spec)
 
-    def _draw(self) -> float:
+    def _draw_run_time_factor(self) -> float:
         return self.rng.lognormvariate(-(LOGNORMAL_SIGMA**2) / 2, LOGNORMAL_SIGMA)
 
     def list_submit_times(self) -> dict[str, float]:
-        """Tell when each job was submitted."""
-        return {name: sent.at for name, sent in self._sent.items()}
+        """Return the submission time of each job, in seconds, by job name."""
+        return {name: sent.submitted_at for name, sent in self._sent_jobs.items()}
 
     def finish(self) -> LoadResult:
-        """Let everything end, and sum up."""
+        """Wait until all jobs have ended, and summarize their results."""
         self.world.run(12.0)
         earned = [0.0] * len(QUEUE_LOADS)
-        owed = [0.0] * len(QUEUE_LOADS)
+        possible_worth = [0.0] * len(QUEUE_LOADS)
         late = refused = 0
-        for name, sent in self._sent.items():
-            owed[sent.kind] += sent.worth
-            took = self._measure(name, sent)
-            if took is None:
+        for name, sent in self._sent_jobs.items():
+            possible_worth[sent.load_index] += sent.worth
+            seconds = self._find_completion_seconds(name, sent)
+            if seconds is None:
                 refused += 1
-            elif took <= sent.objective:
-                earned[sent.kind] += sent.worth
+            elif seconds <= sent.objective_seconds:
+                earned[sent.load_index] += sent.worth
             else:
                 late += 1
-                if took <= 3 * sent.objective:
-                    earned[sent.kind] += 0.2 * sent.worth
+                if seconds <= 3 * sent.objective_seconds:
+                    earned[sent.load_index] += 0.2 * sent.worth
         shares = tuple(
-            got / max(due, 1e-9) for got, due in zip(earned, owed, strict=True)
+            got / max(possible, 1e-9)
+            for got, possible in zip(earned, possible_worth, strict=True)
         )
-        jobs = len(self._sent)
-        worth = sum(earned) / sum(owed)
+        jobs = len(self._sent_jobs)
+        worth = sum(earned) / sum(possible_worth)
         return LoadResult(worth, shares, late / jobs, refused / jobs)
 
-    def _measure(self, name: str, sent: _Sent) -> float | None:
+    def _find_completion_seconds(self, name: str, sent: _SentJob) -> float | None:
         for result, at in self.world.timed_results.get(name, ()):
             if result.end == "completed":
-                return at - sent.at
+                return at - sent.submitted_at
         return None
