--- a/tests/lib/fleet_helpers.py
+++ b/tests/lib/fleet_helpers.py
@@ -1,4 +1,4 @@
-"""Common beginnings of the tests with real processes."""
+"""Setup and request helpers of the tests that run real processes."""
 
 import concurrent.futures
 import threading
@@ -22,7 +22,10 @@
     lease: float = 3.0,
     **entry_settings: Any,
 ) -> None:
-    """Start entries, agents and endpoints with the desk's document in force."""
+    """Start entries, agents and endpoints, and apply the document of the demo service.
+
+    :param lease: lease of each endpoint, in seconds.
+    """
     for _ in range(entries):
         fleet.start_entry(wait=False, **entry_settings)
     fleet.balance()
@@ -37,7 +40,7 @@
 
 
 def base_url(entry: Running) -> str:
-    """Make the base URL of an entry."""
+    """Return the base URL of an entry."""
     return f"http://127.0.0.1:{entry.http}"
 
 
@@ -52,7 +55,7 @@
 
 
 def make_job(count: int, kind: str = "size-change", **payload: Any) -> dict[str, Any]:
-    """Make a job whose tasks each carry their own nonce."""
+    """Make a job whose tasks each carry a different nonce."""
     tasks = [
         {
             "id": f"t{number}",
@@ -71,21 +74,21 @@
 
 
 def run_in_background(function: Any, *arguments: Any, **named: Any) -> AnswerFuture:
-    """Run a call in a thread and hand back its future."""
+    """Run a function in a thread and return a future of its result."""
     future: AnswerFuture = AnswerFuture()
 
-    def work() -> None:
+    def run_and_complete() -> None:
         try:
             future.set_result(function(*arguments, **named))
         except BaseException as error:  # noqa: BLE001
             future.set_exception(error)
 
-    threading.Thread(target=work, daemon=True).start()
+    threading.Thread(target=run_and_complete, daemon=True).start()
     return future
 
 
 def count_starts(fleet: Fleet) -> Counter[str]:
-    """Count starts by task over all endpoints that still answer."""
+    """Count starts by task at all endpoints that are still running."""
     starts: Counter[str] = Counter()
     for endpoint in fleet.endpoints:
         if endpoint.process.poll() is None:
@@ -94,7 +97,7 @@
 
 
 def count_keys(fleet: Fleet) -> Counter[str]:
-    """Count starts by idempotency key over all endpoints that still answer."""
+    """Count starts by idempotency key at all endpoints that are still running."""
     keys: Counter[str] = Counter()
     for endpoint in fleet.endpoints:
         if endpoint.process.poll() is None:
@@ -103,7 +106,7 @@
 
 
 def wait_for_running(fleet: Fleet, count: int) -> None:
-    """Wait until endpoints run so many tasks at once."""
+    """Wait until the endpoints run at least ``count`` tasks at once."""
     wait_for(
         lambda: sum(fleet.record(each)["running"] for each in fleet.endpoints) >= count,
         f"{count} running tasks",
@@ -111,10 +114,10 @@
 
 
 def read_counter(entry: Running, name: str, reason: str = "") -> float:
-    """Read one counter of a process."""
+    """Read one counter from the metrics of a process, 0 if it is absent."""
     text = httpx.get(f"{base_url(entry)}/metrics", timeout=10).text
-    wanted = f'godwitbank_{name}_total{{reason="{reason}"}}'
+    prefix = f'godwitbank_{name}_total{{reason="{reason}"}}'
     for line in text.splitlines():
-        if line.startswith(wanted):
+        if line.startswith(prefix):
             return float(line.split()[-1])
     return 0.0
--- a/tests/lib/run_cluster.py
+++ b/tests/lib/run_cluster.py
@@ -1,8 +1,8 @@
-"""Entries, agents and endpoints for leased runs, driven by one clock.
+"""Simulated cluster of entries, agents and endpoints for leased runs.
 
-The real cores run here; streams, calls to endpoints and time are simulated, so
-that a test can lose an answer, cut a link or stop a process at any moment. What
-must never happen is checked after every step.
+The cores are the real ones. Streams, calls to endpoints and time are simulated, so that
+a test can lose an answer, cut a link or stop a process at any moment. The safety
+invariants are checked after every step.
 """
 
 import heapq
@@ -69,7 +69,7 @@
 ZONE = "zone-1"
 
 EVACUATION_BOUND_SECONDS = 5.0
-"""Seconds after an evacuation from which nothing may start there (users' bound)."""
+"""Time after which no run may start in an evacuated zone, as the users require."""
 
 QUEUE = QueueRules("checks", "desk", "/checks/", "desk", 1, 3, 1.6, 0.06)
 CAPACITY = Resources(16000, 65536, 0)
@@ -78,13 +78,13 @@
 def make_job(
     name: str, width: int = 1, seconds: float = 0.4, cpu: int = 1600, queue: str = ""
 ) -> JobSpec:
-    """Make a job of one step; its payload tells the fake how long tasks run."""
+    """Make a job of one step, whose payload is the run time of its tasks in seconds."""
     step = StepSpec(width, Resources(cpu, 64, 0), seconds)
     return JobSpec(name, queue or QUEUE.name, str(seconds), (step,))
 
 
 class Process:
-    """One process: its core, its streams, and whether it runs."""
+    """A simulated process with its core and its streams."""
 
     def __init__(self, world: "RunCluster", name: str, core: Any) -> None:
         self.world = world
@@ -97,7 +97,7 @@
         self.generation = 0
 
     def deliver_event(self, event: object) -> None:
-        """Let the core handle an event, or keep it while the process is frozen."""
+        """Pass an event to the core, or queue it while the process is suspended."""
         if self.dead:
             return
         if self.suspended:
@@ -109,7 +109,11 @@
 
 
 class StreamEnd:
-    """One end of a stream."""
+    """One end of a simulated stream.
+
+    :param number: number of the stream at this end.
+    :param owner: process at this end.
+    """
 
     def __init__(self, number: int, owner: Process) -> None:
         self.number = number
@@ -120,7 +124,14 @@
 
 
 class RunCluster:
-    """A deployment in one clock."""
+    """Entries, agents and endpoints that share one simulated clock.
+
+    :param seed: seed of all random choices.
+    :param config: configuration of the queues; by default a single queue.
+    :param policy: mechanisms that the entries use.
+    :param entries_per_agent: number of entries to which each agent connects.
+    :param deployment: settings and time limits of the deployment.
+    """
 
     def __init__(
         self,
@@ -146,25 +157,29 @@
         self.stored_reports: dict[str, EndpointReport] = {}
         self.cut_links: set[frozenset[str]] = set()
         self.start_loss_delay: Callable[[OrderStart], float | None] = lambda order: None
-        """Seconds after which an order whose answer is lost is carried out."""
+        """Decides whether the answer to a start order is lost.
+
+        Returns the seconds after which the endpoint still carries out the order, or
+        None if the answer is not lost.
+        """
         self.loses_renewal: Callable[[str], bool] = lambda agent: False
         self._delays: dict[tuple[str, str], float] = {}
         self.jobs: dict[int, str] = {}
         self.violations: list[str] = []
         self.zones: dict[str, str] = {}
         self.evacuated_since: dict[str, float] = {}
-        """Zones that are evacuated, and since when."""
+        """Start time of the evacuation of each evacuated zone, in seconds."""
         self.without_store: set[str] = set()
-        """Processes that can't reach the store."""
+        """Names of the processes that cannot reach the store."""
         self._revision = 1
-        self._starts_seen: dict[str, int] = {}
+        self._checked_starts: dict[str, int] = {}
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._sequence = itertools.count()
         self._streams = itertools.count(1)
         self._callers = itertools.count(1)
         self.configuration = config or Configuration(1, (QUEUE,), 10**6)
 
-    # Building
+    # Setup
 
     def add_entry(
         self,
@@ -172,7 +187,7 @@
         make_process: Callable[["RunCluster", str, Any], Process] = Process,
         zone: str = ZONE,
     ) -> Process:
-        """Start an entry, by default as a process that always keeps up."""
+        """Start an entry, by default as a process that handles events in no time."""
         zone = self.zones.setdefault(name, zone)
         identity = Identity(name, f"{name}#{next(self._sequence)}", name, zone)
         rng = Random(self.rng.random())
@@ -188,14 +203,14 @@
         if name not in self.without_store:
             process.deliver_event(EvacuationRead(self._read_evacuation()))
             process.deliver_event(ConfigurationRead(self.configuration))
-        others = [each.name for each in self._list(RunEntryCore)]
+        others = [each.name for each in self._list_running(RunEntryCore)]
         process.deliver_event(AddressesRead(tuple(others)))
         return process
 
     def add_agent(
         self, name: str, capacity: Resources = CAPACITY, zone: str = ZONE
     ) -> Process:
-        """Start an agent, and its endpoint if there is none."""
+        """Start an agent, and an endpoint for it if it has none."""
         zone = self.zones.setdefault(name, zone)
         identity = Identity(name, f"{name}#{next(self._sequence)}", name, zone)
         core = RunAgentCore(
@@ -206,14 +221,14 @@
         )
         process = Process(self, name, core)
         self.processes[name] = process
-        entries = [each.name for each in self._list(RunEntryCore)]
+        entries = [each.name for each in self._list_running(RunEntryCore)]
         process.deliver_event(AddressesRead(tuple(entries)))
         if self.endpoints.get(name) is None:
             self.start_endpoint(name, capacity)
         return process
 
     def start_endpoint(self, name: str, capacity: Resources = CAPACITY) -> FakeEndpoint:
-        """Start an endpoint beside an agent."""
+        """Start an endpoint for an agent."""
         instance = f"i-{name}-{next(self._sequence)}"
         base = 10**6 + 10**5 * next(self._sequence)
         longest = self.deployment.max_lease_seconds
@@ -233,7 +248,7 @@
             lambda: self._report(name, endpoint),
         )
 
-    def _list(self, kind: type) -> list[Process]:
+    def _list_running(self, kind: type) -> list[Process]:
         return [
             each
             for each in self.processes.values()
@@ -243,11 +258,11 @@
     # Time
 
     def after(self, delay: float, act: Callable[[], None]) -> None:
-        """Do something later."""
+        """Schedule a call after a delay in seconds."""
         heapq.heappush(self._events, (self.now + delay, next(self._sequence), act))
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance the clock and carry out what is due."""
         until = self.now + seconds
         while self._events and self._events[0][0] <= until:
             at, _, act = heapq.heappop(self._events)
@@ -260,36 +275,36 @@
             self.check()
 
     def run_until(self, holds: Callable[[], bool], seconds: float = 20.0) -> None:
-        """Let time pass until something holds.
+        """Advance the clock until a condition holds.
 
-        :raises AssertionError: when it doesn't in time.
+        :raises AssertionError: if the condition does not hold in time.
         """
         until = self.now + seconds
         while not holds():
-            assert self.now < until, "it didn't happen"
+            assert self.now < until, "the condition did not hold in time"
             self.run(0.01)
 
     def schedule_wakeup(self, process: Process) -> None:
-        """Tick a process when its core asks for it."""
+        """Schedule the tick that the core of a process requests."""
         process.generation += 1
         generation = process.generation
         delay = max(0.001, process.core.next_wakeup - self.now)
 
-        def wake() -> None:
+        def fire_tick() -> None:
             if process.generation == generation and not process.suspended:
                 process.deliver_event(Tick())
 
-        self.after(delay, wake)
+        self.after(delay, fire_tick)
 
     # The operators' store
 
     def evacuate(self, zone: str) -> None:
-        """Ask that nothing new be started in a zone."""
+        """Evacuate a zone, so that no new runs start in it."""
         self.evacuated_since.setdefault(zone, self.now)
         self.announce_evacuation()
 
     def end_evacuation(self, zone: str) -> None:
-        """End a zone's evacuation."""
+        """End the evacuation of a zone."""
         self.evacuated_since.pop(zone, None)
         self.announce_evacuation()
 
@@ -297,19 +312,23 @@
         return Evacuation(frozenset(self.evacuated_since), self._revision)
 
     def announce_evacuation(self) -> None:
-        """Let the entries that reach the store read what is evacuated."""
+        """Let the entries that can reach the store read the evacuated zones."""
         self._revision += 1
         read = EvacuationRead(self._read_evacuation())
-        for process in self._list(RunEntryCore):
+        for process in self._list_running(RunEntryCore):
             if process.name not in self.without_store:
                 self.after(STORE_DELAY_SECONDS, partial(process.deliver_event, read))
 
-    # What must never happen
+    # Invariants
 
     def check(self) -> None:
-        """Look for a task that runs twice, an endpoint that is overfull, a late start.
+        """Check the safety invariants.
 
-        A start is late in a zone that has been evacuated for longer than the bound.
+        No task runs at two endpoints at once, no endpoint exceeds its capacity, and no
+        run starts in a zone that was evacuated more than
+        ``EVACUATION_BOUND_SECONDS`` ago.
+
+        :raises AssertionError: if an invariant is violated.
         """
         self._check_starts()
         seen: dict[str, str] = {}
@@ -320,10 +339,10 @@
             used = 0
             for task in endpoint.alive:
                 if task in seen:
-                    fault = f"{self.now:.3f}: {task} at {seen[task]} and {name}"
-                    self.violations.append(fault)
+                    violation = f"{self.now:.3f}: {task} at {seen[task]} and {name}"
+                    self.violations.append(violation)
                 seen[task] = name
-                used += self._find_cpu(task)
+                used += self._get_task_cpu(task)
             if used > endpoint.capacity.cpu:
                 self.violations.append(f"{self.now:.3f}: {name} is over its capacity")
         assert not self.violations, self.violations[0]
@@ -333,20 +352,26 @@
             since = self.evacuated_since.get(self.zones.get(name, ZONE))
             if endpoint is None:
                 continue
-            seen = self._starts_seen.get(endpoint.instance, 0)
-            self._starts_seen[endpoint.instance] = len(endpoint.started)
+            seen = self._checked_starts.get(endpoint.instance, 0)
+            self._checked_starts[endpoint.instance] = len(endpoint.started)
             for at, task, _ in endpoint.started[seen:]:
                 if since is not None and at > since + EVACUATION_BOUND_SECONDS:
-                    fault = f"{at:.3f}: {task} began at {name}, evacuated at {since}"
-                    self.violations.append(fault)
+                    violation = (
+                        f"{at:.3f}: {task} began at {name}, evacuated at {since}"
+                    )
+                    self.violations.append(violation)
 
-    def _find_cpu(self, task: str) -> int:
+    def _get_task_cpu(self, task: str) -> int:
         return self.specs[task.partition(".")[0]].steps[0].needs.cpu
 
     # Callers
 
     def submit(self, entry: str, spec: JobSpec, timeout_seconds: float = 10.0) -> int:
-        """Hand a job to an entry."""
+        """Submit a job to an entry.
+
+        :param timeout_seconds: how long the caller waits for an answer.
+        :return: number of the caller.
+        """
         self.specs[spec.job] = spec
         caller = next(self._callers)
         self.jobs[caller] = spec.job
@@ -358,70 +383,70 @@
         return caller
 
     def disconnect_caller(self, entry: str, caller: int) -> None:
-        """Let a caller's connection break."""
+        """Close the connection of a caller to its entry."""
         self.processes[entry].deliver_event(CallerDisconnected(caller))
 
     def list_ends(self, job: str) -> list[str]:
-        """List how a job ended, as its callers were told."""
+        """List the ends of a job that its callers received."""
         return [str(result.end) for result in self.results[job]]
 
     # Faults
 
     def kill(self, name: str) -> None:
-        """End a process; its streams are reset."""
+        """Kill a process, so that its streams are reset."""
         process = self.processes[name]
         process.dead = True
         for wire in list(process.streams.values()):
             self._close(wire)
 
     def power_off(self, name: str) -> None:
-        """Take the power of a process's VM: nothing is reset."""
+        """Power off the VM of a process, without a reset of its streams."""
         self.processes[name].dead = True
 
     def crash_endpoint(self, name: str) -> None:
-        """End an endpoint without a word."""
+        """Crash an endpoint, which sends no notice."""
         self.endpoints[name] = None
 
     def suspend(self, name: str) -> None:
-        """Suspend a process."""
+        """Suspend a process; its events are queued until ``resume``."""
         self.processes[name].suspended = True
 
     def resume(self, name: str) -> None:
-        """Let a suspended process go on; it finds what came meanwhile."""
+        """Resume a suspended process, which then handles the queued events."""
         process = self.processes[name]
         process.suspended = False
-        backlog, process.pending_events = process.pending_events, []
-        for event in backlog:
+        delayed_events, process.pending_events = process.pending_events, []
+        for event in delayed_events:
             process.deliver_event(event)
         process.deliver_event(Tick())
 
     def cut_link(self, one: str, other: str) -> None:
-        """Cut two processes off from each other; frames are lost silently."""
+        """Cut the link between two processes; frames are lost without a reset."""
         self.cut_links.add(frozenset((one, other)))
 
     def blackhole_streams(self, choose: Callable[[], bool] = lambda: True) -> None:
-        """Let streams that are open go silent for good; new ones work.
+        """Lose all further frames of open streams, but not those of new ones.
 
-        :param choose: tells for each end of a stream whether it goes silent.
+        :param choose: decides for each end of a stream whether its frames are lost.
         """
         for process in self.processes.values():
             for wire in process.streams.values():
                 wire.loses_frames = wire.loses_frames or choose()
 
     def delay_frames(self, sender: str, receiver: str, seconds: float) -> None:
-        """Let frames from one process to another arrive later from now on."""
+        """Delay all further frames from one process to another."""
         self._delays[(sender, receiver)] = seconds
 
     def restore_links(self) -> None:
-        """End all cuts."""
+        """Restore all links that were cut."""
         self.cut_links.clear()
 
     def stop(self, name: str) -> None:
-        """Ask a process to end in an orderly way."""
+        """Request an orderly shutdown of a process."""
         self.processes[name].deliver_event(StopRequested())
 
     def leave(self, name: str) -> None:
-        """Let an endpoint say that it ends, and end."""
+        """Let an endpoint announce its exit to its agent, and end it."""
         endpoint = self.endpoints[name]
         assert endpoint is not None
         self.endpoints[name] = None
@@ -430,7 +455,7 @@
     # Actions
 
     def perform(self, process: Process, actions: list[Any]) -> None:
-        """Carry out what a core asked for."""
+        """Carry out the actions that a core requests."""
         for action in actions:
             if isinstance(action, Send):
                 self.send_frame(process, action)
@@ -448,8 +473,8 @@
                 self._renew(process, action)
             elif isinstance(action, AnswerCaller):
                 self.results[action.result.job].append(action.result)
-                told = (action.result, self.now)
-                self.timed_results[action.result.job].append(told)
+                timed_result = (action.result, self.now)
+                self.timed_results[action.result.job].append(timed_result)
             elif isinstance(action, LogDecision):
                 if self.checking:
                     self.log_decisions.append((self.now, process.name, action))
@@ -465,7 +490,8 @@
         target = self.processes.get(address)
 
         def connect() -> None:
-            # A suspended process's kernel takes the connection; nobody greets.
+            # The kernel of a suspended process accepts the connection, but the process
+            # sends no Hello.
             reachable = target is not None and not (target.dead or target.suspended)
             if not reachable or target is None or self._is_cut(process, target):
                 process.deliver_event(StreamClosed(0, address))
@@ -486,7 +512,7 @@
         return Role.ENTRY if isinstance(process.core, RunEntryCore) else Role.AGENT
 
     def send_frame(self, process: Process, action: Send) -> None:
-        """Carry a frame to the other end of a stream."""
+        """Send a frame to the other end of a stream."""
         wire = process.streams.get(action.stream)
         if (
             wire is None
@@ -503,8 +529,8 @@
                 return
             other.owner.deliver_event(Received(other.number, action.message))
 
-        held_up = self._delays.get((process.name, other.owner.name), 0.0)
-        self.after(LINK_DELAY_SECONDS + held_up, deliver)
+        extra_delay = self._delays.get((process.name, other.owner.name), 0.0)
+        self.after(LINK_DELAY_SECONDS + extra_delay, deliver)
 
     def _close(self, wire: StreamEnd) -> None:
         wire.closed = True
@@ -524,31 +550,33 @@
 
     def _start(self, process: Process, order: OrderStart) -> None:
         endpoint = self.endpoints.get(process.name)
-        seconds = self._find_seconds(order)
-        late = self.start_loss_delay(order)
-        lost = StartAnswered(
+        seconds = self._get_run_seconds(order)
+        delay = self.start_loss_delay(order)
+        no_answer = StartAnswered(
             order.task, order.run, StartVerdict.NO_ANSWER, order.token, None
         )
-        if endpoint is None or late is not None:
-            if endpoint is not None and late is not None:
-                self.after(late, lambda: self._start_late(endpoint, order, seconds))
-            self.after(order.timeout_seconds, lambda: process.deliver_event(lost))
+        if endpoint is None or delay is not None:
+            if endpoint is not None and delay is not None:
+                self.after(
+                    delay, lambda: self._start_unanswered(endpoint, order, seconds)
+                )
+            self.after(order.timeout_seconds, lambda: process.deliver_event(no_answer))
             return
 
-        def carry_out() -> None:
+        def execute() -> None:
             answer = endpoint.start(order, self.now, seconds)
             self.after(CALL_DELAY_SECONDS, lambda: process.deliver_event(answer))
 
-        self.after(CALL_DELAY_SECONDS, carry_out)
+        self.after(CALL_DELAY_SECONDS, execute)
 
-    def _find_seconds(self, order: OrderStart) -> float:
+    def _get_run_seconds(self, order: OrderStart) -> float:
         times = order.payload.split(",")
         return float(times[int(order.task.rpartition(".")[2]) % len(times)])
 
-    def _start_late(
-        self, endpoint: FakeEndpoint, order: OrderStart, sec: float
+    def _start_unanswered(
+        self, endpoint: FakeEndpoint, order: OrderStart, seconds: float
     ) -> None:
-        endpoint.start(order, self.now, sec)
+        endpoint.start(order, self.now, seconds)
 
     def _order_stop(self, process: Process, order: OrderStop) -> None:
         endpoint = self.endpoints.get(process.name)
@@ -563,7 +591,7 @@
             self.after(delay, lambda: process.deliver_event(failed))
             return
 
-        def carry_out() -> None:
+        def execute() -> None:
             answer = endpoint.hold(order, self.now)
             until = self.now + order.wait / 1000
 
@@ -578,4 +606,4 @@
 
             poll()
 
-        self.after(CALL_DELAY_SECONDS, carry_out)
+        self.after(CALL_DELAY_SECONDS, execute)
--- a/tests/lib/task_cluster.py
+++ b/tests/lib/task_cluster.py
@@ -1,8 +1,8 @@
-"""Several cores and a wire between them, all under a test's control.
+"""Cluster of entry and agent cores, connected by streams that a test controls.
 
-Nothing here decides anything: cores get events, their actions become messages
-on a wire that the test may delay, cut, silence or repeat, and every start is
-written down. It checks decisions; it is no simulator of a cluster.
+The cores make all decisions. Their actions become messages on streams, which a test can
+delay, cut, lose or repeat, and every start of a task is recorded. This serves to check
+decisions; it does not simulate the performance of a cluster.
 """
 
 from collections import Counter, deque
@@ -51,7 +51,7 @@
 
 
 class Process:
-    """One process: a core, whether it is paused, and what waits for it."""
+    """A process with its core, its state and the events that are queued for it."""
 
     def __init__(self, name: str, core: Any) -> None:
         self.name = name
@@ -63,7 +63,14 @@
 
 
 class Stream:
-    """One stream between two processes, a queue each way."""
+    """A stream between two processes, with a queue of frames in each direction.
+
+    All pairs of attributes belong to the dialling end first, then to the accepting one.
+
+    :param dialler: process that opens the stream.
+    :param acceptor: process that accepts it.
+    :param address: address that was dialled.
+    """
 
     def __init__(self, dialler: Process, acceptor: Process, address: str) -> None:
         self.ends = (dialler, acceptor)
@@ -75,7 +82,12 @@
 
 
 class TaskCluster:
-    """Processes, wires, a table and a record of starts."""
+    """Processes, their streams, a table of claims and a record of all starts.
+
+    :param entries: number of entries.
+    :param agents: number of agents, each with one endpoint.
+    :param slots: tasks that an endpoint runs at once.
+    """
 
     def __init__(self, entries: int = 2, agents: int = 2, slots: int = 2) -> None:
         self.now = 1000.0
@@ -105,13 +117,13 @@
 
     # Processes
 
-    def _identify(self, name: str) -> Identity:
+    def _make_identity(self, name: str) -> Identity:
         self.incarnations += 1
         return Identity(name, f"{name}/{self.incarnations}", name, "a")
 
     def start_entry(self, name: str) -> None:
-        """Start an entry; the one it replaces is gone without a word."""
-        core = EntryCore(self._identify(name), self.timing, Random(3), self.now)
+        """Start an entry, which replaces a process of the same name without notice."""
+        core = EntryCore(self._make_identity(name), self.timing, Random(3), self.now)
         process = self.processes[name] = Process(name, core)
         self.deliver_event(process, TableRead())
         if not self.table_down:
@@ -120,11 +132,11 @@
             )
         for other in list(self.processes.values()):
             if other is not process:
-                self._introduce(process, other)
+                self._announce_address(process, other)
 
     def start_agent(self, name: str) -> None:
-        """Start an agent with an endpoint beside it."""
-        core = AgentCore(self._identify(name), self.timing, self.now)
+        """Start an agent and its endpoint."""
+        core = AgentCore(self._make_identity(name), self.timing, self.now)
         process = self.processes[name] = Process(name, core)
         self.running[name] = {}
         self.left_agents.discard(name)
@@ -133,9 +145,9 @@
         )
         for other in list(self.processes.values()):
             if isinstance(other.core, EntryCore):
-                self._introduce(other, process)
+                self._announce_address(other, process)
 
-    def _introduce(self, entry: Process, other: Process) -> None:
+    def _announce_address(self, entry: Process, other: Process) -> None:
         role = Role.ENTRY if isinstance(other.core, EntryCore) else Role.AGENT
         hello = Hello(PROTOCOL_VERSION, role, other.name, "i", other.name, "a")
         self.last_number += 1
@@ -143,27 +155,27 @@
         self.deliver_event(entry, StreamClosed(-self.last_number))
 
     def kill(self, name: str) -> None:
-        """End a process; its streams end with it."""
+        """Kill a process, and close its streams."""
         process = self.processes[name]
         process.alive = False
-        for wire in self.streams.values():
+        for stream in self.streams.values():
             for end in (0, 1):
-                if wire.ends[end] is process:
-                    wire.closed[end] = True
-                    wire.queues[1 - end].append(b"")
+                if stream.ends[end] is process:
+                    stream.closed[end] = True
+                    stream.queues[1 - end].append(b"")
 
     def deliver_event(self, process: Process, event: object) -> None:
-        """Hand an event to a process, now or when it wakes."""
+        """Pass an event to a process, or queue it while the process is paused."""
         if not process.alive:
             return
         if process.paused:
             process.pending_events.append(event)
             return
-        self._perform(process, process.core.handle(event, self.now))
+        self._execute(process, process.core.handle(event, self.now))
         self.check_revisions(process)
 
     def resume(self, name: str) -> None:
-        """Let a paused process run; what waited for it comes first."""
+        """Resume a paused process, which then handles the queued events."""
         process = self.processes[name]
         process.paused = False
         while process.pending_events:
@@ -171,10 +183,10 @@
 
     # Actions
 
-    def _perform(self, process: Process, actions: list[Any]) -> None:
+    def _execute(self, process: Process, actions: list[Any]) -> None:
         for action in actions:
             if isinstance(action, Send):
-                self._write(process, action)
+                self._send(process, action)
             elif isinstance(action, Dial):
                 self._dial(process, action.address)
             elif isinstance(action, CloseStream):
@@ -182,7 +194,7 @@
             elif isinstance(action, Reply):
                 self._reply(action.outcome)
             elif isinstance(action, RunTask):
-                self._run(process, action)
+                self._start_task(process, action)
             elif isinstance(action, WriteClaims):
                 self.pending_claim_writes.append((process, action))
             elif isinstance(action, ReleaseClaims) and not self.table_down:
@@ -190,13 +202,13 @@
                     if self.table.get(key) == token:
                         del self.table[key]
 
-    def _write(self, process: Process, action: Send) -> None:
-        wire = self.streams.get(action.stream)
-        if wire is None:
+    def _send(self, process: Process, action: Send) -> None:
+        stream = self.streams.get(action.stream)
+        if stream is None:
             return
-        end = 0 if wire.ends[0] is process else 1
-        if not wire.loses_frames[end] and not wire.closed[end]:
-            wire.queues[1 - end].append(encode(action.message)[4:])
+        end = 0 if stream.ends[0] is process else 1
+        if not stream.loses_frames[end] and not stream.closed[end]:
+            stream.queues[1 - end].append(encode(action.message)[4:])
 
     def _dial(self, process: Process, address: str) -> None:
         target = self.processes.get(address)
@@ -204,7 +216,7 @@
             process.pending_events.append(StreamClosed(0, address))
             return
         self.last_number += 1
-        wire = self.streams[self.last_number] = Stream(process, target, address)
+        stream = self.streams[self.last_number] = Stream(process, target, address)
         core = process.core
         hello = Hello(
             PROTOCOL_VERSION,
@@ -214,95 +226,110 @@
             process.name,
             "a",
         )
-        wire.queues[1].append(encode(hello)[4:])
+        stream.queues[1].append(encode(hello)[4:])
 
-    def _close(self, process: Process, stream: int) -> None:
-        wire = self.streams.get(stream)
-        if wire is None:
+    def _close(self, process: Process, number: int) -> None:
+        stream = self.streams.get(number)
+        if stream is None:
             return
-        end = 0 if wire.ends[0] is process else 1
-        wire.closed[end] = True
-        if not wire.loses_frames[end]:
-            wire.queues[1 - end].append(b"")
+        end = 0 if stream.ends[0] is process else 1
+        stream.closed[end] = True
+        if not stream.loses_frames[end]:
+            stream.queues[1 - end].append(b"")
 
     def reset_stream(self, number: int, end: int) -> None:
-        """Let one end see a stream die; the other has yet to read up to it."""
-        wire = self.streams[number]
-        wire.closed[end] = True
-        wire.queues[1 - end].append(b"")
-        self.deliver_event(wire.ends[end], StreamClosed(number))
+        """Reset a stream at one end; the other end first reads the queued frames.
+
+        :param number: number of the stream.
+        :param end: 0 for the dialling end, 1 for the accepting one.
+        """
+        stream = self.streams[number]
+        stream.closed[end] = True
+        stream.queues[1 - end].append(b"")
+        self.deliver_event(stream.ends[end], StreamClosed(number))
 
     def _reply(self, outcome: Complete | Failed) -> None:
-        assert outcome.submission not in self.answers, "answered twice"
+        assert outcome.submission not in self.answers, "a submission was answered twice"
         self.answers[outcome.submission] = outcome
         if isinstance(outcome, Complete):
-            wanted = self.submissions[outcome.submission].tasks
-            assert len(outcome.answers) == len(wanted)
-            for answer, task in zip(outcome.answers, wanted, strict=True):
-                assert answer.body == task.payload, "an answer to another task"
+            submitted_tasks = self.submissions[outcome.submission].tasks
+            assert len(outcome.answers) == len(submitted_tasks)
+            for answer, task in zip(outcome.answers, submitted_tasks, strict=True):
+                assert answer.body == task.payload, (
+                    "a task got the answer to another task"
+                )
         else:
             self.check_not_run()
 
-    def _run(self, process: Process, task: RunTask) -> None:
+    def _start_task(self, process: Process, task: RunTask) -> None:
         name = (task.key.submission, task.key.position)
         self.start_counts[name] += 1
         if task.request_id:
             self.request_id_counts[task.request_id] += 1
         running = self.running[process.name]
         running[task.key] = task
-        assert self.start_counts[name] == 1, "a task started twice"
+        assert self.start_counts[name] == 1, "a task was started twice"
         if task.request_id:
             assert self.request_id_counts[task.request_id] == 1, (
-                "a request id ran twice"
+                "a request id was started twice"
             )
-        assert len(running) <= self.slots, "more tasks than slots"
-        assert process.name not in self.left_agents, "a start after leaving"
+        assert len(running) <= self.slots, (
+            "an endpoint runs more tasks than it has slots"
+        )
+        assert process.name not in self.left_agents, (
+            "a task was started after the endpoint left"
+        )
         self.check_not_run()
 
     # Checks
 
     def check_not_run(self) -> None:
-        """Check every answer that says "not run" against the record."""
+        """Check that no task started whose answer reports it as not run."""
         for submission, outcome in self.answers.items():
             if isinstance(outcome, Failed) and outcome.ran is Ran.NOT_RUN:
                 tasks = self.submissions[submission].tasks
                 ran = [
                     n for n in range(len(tasks)) if self.start_counts[(submission, n)]
                 ]
-                assert not ran, f"not run is false: {outcome}"
+                assert not ran, f"tasks reported as not run were started: {outcome}"
 
     def check_revisions(self, process: Process) -> None:
-        """Check that no process ever holds a lower revision than before."""
+        """Check that no revision of a configuration at a process decreases."""
         for service, revision in process.core.catalog.list_revisions().items():
-            before = process.highest_revisions.get(service, 0)
-            assert revision >= before, "a configuration reverted"
+            previous_revision = process.highest_revisions.get(service, 0)
+            assert revision >= previous_revision, (
+                "the revision of a configuration decreased"
+            )
             process.highest_revisions[service] = revision
 
-    # Wire
+    # Streams
 
     def list_deliverable(self) -> list[tuple[int, int]]:
-        """List wire ends at which something waits."""
+        """List the open stream ends with queued frames, by number and end."""
         return [
             (number, end)
-            for number, wire in self.streams.items()
+            for number, stream in self.streams.items()
             for end in (0, 1)
-            if wire.queues[end] and not wire.closed[end]
+            if stream.queues[end] and not stream.closed[end]
         ]
 
     def deliver(self, number: int, end: int, repeat: bool = False) -> None:
-        """Deliver the next message at a wire's end."""
-        wire = self.streams[number]
-        process = wire.ends[end]
-        body = wire.queues[end].popleft()
+        """Deliver the next frame at one end of a stream.
+
+        :param repeat: whether to deliver a start order twice.
+        """
+        stream = self.streams[number]
+        process = stream.ends[end]
+        body = stream.queues[end].popleft()
         if not body:
-            wire.closed[end] = True
+            stream.closed[end] = True
             self.deliver_event(process, StreamClosed(number))
             return
         message = decode(body)
-        if not wire.opened[end]:
-            wire.opened[end] = True
+        if not stream.opened[end]:
+            stream.opened[end] = True
             assert isinstance(message, Hello | Welcome)
-            address = wire.address if end == 0 else ""
+            address = stream.address if end == 0 else ""
             self.deliver_event(process, StreamOpened(number, message, address))
             return
         self.deliver_event(process, Received(number, message))
@@ -310,14 +337,14 @@
             self.deliver_event(process, Received(number, message))
 
     def flush_events(self) -> None:
-        """Hand over what failed dials left behind."""
+        """Deliver the events of failed connection attempts."""
         for process in list(self.processes.values()):
             if not process.paused:
                 for _ in range(len(process.pending_events)):
                     self.deliver_event(process, process.pending_events.popleft())
 
     def pass_time(self, seconds: float) -> None:
-        """Let time pass; every process that is not paused gets a tick."""
+        """Advance the clock; every process that is not paused gets a tick."""
         self.now += seconds
         for process in list(self.processes.values()):
             if not process.paused:
@@ -325,7 +352,11 @@
         self.flush_events()
 
     def deliver_all(self, rounds: int = 12, except_stream: int = 0) -> None:
-        """Deliver everything, but on one wire, with a little time between."""
+        """Deliver all frames in several rounds, and advance the clock between them.
+
+        :param rounds: number of rounds.
+        :param except_stream: number of a stream whose frames are not delivered.
+        """
         for _ in range(rounds):
             for _ in range(400):
                 waiting = [
@@ -342,7 +373,11 @@
     # Table
 
     def finish_claims(self, effect: bool = True, answer: bool = True) -> None:
-        """Let waiting claim writes take effect, be answered, both or neither."""
+        """Finish the pending writes of claims.
+
+        :param effect: whether the writes reach the table.
+        :param answer: whether the answers reach the entries.
+        """
         effect = effect and not self.table_down
         for _ in range(len(self.pending_claim_writes)):
             process, action = self.pending_claim_writes.popleft()
@@ -361,7 +396,7 @@
                 event = ClaimsFailed(action.batch)
             self.deliver_event(process, event)
 
-    # Work
+    # Jobs and runs
 
     def submit(self, entry: str, count: int, key: str = "") -> str:
         """Submit a job; with a key, its first task is not idempotent."""
@@ -379,20 +414,20 @@
         return name
 
     def end_run(self, agent: str, key: TaskKey, answered: bool = True) -> None:
-        """Let an endpoint answer, or fail."""
+        """Let an endpoint answer a task, or fail."""
         task = self.running[agent].pop(key)
         ending = Ending.ANSWERED if answered else Ending.ENDPOINT_FAILED
         event = RunEnded(key, ending, 200, "text/plain", task.payload, 0.1)
         self.deliver_event(self.processes[agent], event)
 
     def leave(self, agent: str) -> None:
-        """Let an endpoint say that it leaves."""
+        """Let an endpoint announce to its agent that it leaves."""
         self.deliver_event(self.processes[agent], EndpointLeft())
         if not self.processes[agent].paused:
             self.left_agents.add(agent)
 
     def apply_revision(self, entry: str) -> None:
-        """Accept a new revision through one entry."""
+        """Deliver a new revision of the configuration to one entry."""
         self.revision += 1
         self.document = DESK_DOCUMENT.replace(
             "slots = 8", f"slots = {2 + self.revision % 7}"
