--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,7 +8,7 @@
 from standins.fleet import Fleet
 
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
-"""Tests that fail for a fault not mended yet, one a line, id first."""
+"""File of the tests that fail because of a known fault, one per line, id first."""
 
 DOCUMENTS = Path(__file__).parent.parent / "demo"
 
@@ -33,30 +33,30 @@
 
 @pytest.fixture
 def fleet(tmp_path: Path) -> Iterator[Fleet]:
-    """Start a platform and nothing else yet; end it whatever happens."""
-    started = Fleet(tmp_path / "fleet", heartbeat=0.2)
+    """Start a platform without entries or agents, and stop it after the test."""
+    new_fleet = Fleet(tmp_path / "fleet", heartbeat=0.2)
     try:
-        yield started
+        yield new_fleet
     finally:
-        started.stop()
+        new_fleet.stop()
 
 
-def _list_known_red() -> list[str]:
+def _read_known_red() -> list[str]:
     if not KNOWN_RED.exists():
         return []
     return [line for line in KNOWN_RED.read_text().splitlines() if line.strip()]
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list) -> None:
-    """Pass over the tests that are known to fail, unless one is asked for by id."""
-    red = {line.partition("|")[0].strip() for line in _list_known_red()}
-    red -= set(config.args)
-    passed_over = [item for item in items if item.nodeid in red]
-    items[:] = [item for item in items if item.nodeid not in red]
-    config.hook.pytest_deselected(items=passed_over)
+    """Deselect the tests that are known to fail, unless requested by id."""
+    known_red_ids = {line.partition("|")[0].strip() for line in _read_known_red()}
+    known_red_ids -= set(config.args)
+    deselected = [item for item in items if item.nodeid in known_red_ids]
+    items[:] = [item for item in items if item.nodeid not in known_red_ids]
+    config.hook.pytest_deselected(items=deselected)
 
 
 def pytest_terminal_summary(terminalreporter) -> None:
-    """Print the tests that were passed over."""
-    for line in _list_known_red():
+    """Print the tests that are known to fail."""
+    for line in _read_known_red():
         terminalreporter.write_line(f"KNOWN RED, not run: {line}")
--- a/tests/test_clocks.py
+++ b/tests/test_clocks.py
@@ -1,15 +1,21 @@
-"""Nothing but the time in log lines may come from the time of day."""
+"""Only the timestamps of log lines may use the time of day."""
 
 import ast
 from pathlib import Path
 
 SOURCE = Path(__file__).parent.parent / "src" / "godwitbank" / "_internal"
-LOGS = "cli/logs.py"
-CALLS = {"time.time", "time.time_ns", "datetime.now", "datetime.utcnow", "time.ctime"}
+LOG_MODULE = "cli/logs.py"
+TIME_OF_DAY_CALLS = {
+    "time.time",
+    "time.time_ns",
+    "datetime.now",
+    "datetime.utcnow",
+    "time.ctime",
+}
 
 
 def list_calls(text: str) -> set[str]:
-    """List the calls of a module, as they are written."""
+    """List the functions that a module calls, as written in its source."""
     return {
         ast.unparse(node.func)
         for node in ast.walk(ast.parse(text))
@@ -18,16 +24,16 @@
 
 
 def test_no_decision_uses_the_time_of_day() -> None:
-    # Symptom: a lease ends an hour early, a task runs twice. Sequence: the time of day
-    # jumps on a VM, forward or back, while leases and silences are measured with it.
-    # Cause: they must be measured with a clock that only rises.
-    users = {
+    # A lease would end an hour early, or a task would run twice, if the time of day
+    # jumped on a VM while leases and stream timeouts were measured with it. They need a
+    # monotonic clock.
+    modules = {
         str(path.relative_to(SOURCE))
         for path in SOURCE.rglob("*.py")
-        if list_calls(path.read_text(encoding="utf-8")) & CALLS
+        if list_calls(path.read_text(encoding="utf-8")) & TIME_OF_DAY_CALLS
     }
-    assert users <= {LOGS}
+    assert modules <= {LOG_MODULE}
 
 
-def test_the_look_for_it_finds_it() -> None:
-    assert list_calls("import time\nstarted = time.time()") & CALLS
+def test_call_to_the_time_of_day_is_found() -> None:
+    assert list_calls("import time\nstarted = time.time()") & TIME_OF_DAY_CALLS
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""Which folders of the package may know which."""
+"""The modules of the package have no circular imports."""
 
 import ast
 from pathlib import Path
@@ -7,7 +7,7 @@
 
 
 def list_imports(path: Path) -> set[str]:
-    """List the modules of this package that a file imports, in whatever way."""
+    """List the modules of this package that a file imports by ``from ... import``."""
     found = set()
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         module = node.module if isinstance(node, ast.ImportFrom) else ""
@@ -16,20 +16,22 @@
     return found
 
 
-def test_no_module_imports_itself_by_way_of_others() -> None:
-    # Symptom: an import fails, or works only in one order. Cause: two modules that
-    # need each other, one of them perhaps only for its annotations.
+def test_no_module_imports_itself_indirectly() -> None:
+    # Two modules that import each other fail to import, or do so only in one order.
+    # One of them may need the other only for its annotations.
     modules = {
         str(path.relative_to(SOURCE).with_suffix("")).replace("/", "."): path
         for path in SOURCE.rglob("*.py")
     }
-    needs = {name: list_imports(path) & set(modules) for name, path in modules.items()}
+    imports = {
+        name: list_imports(path) & set(modules) for name, path in modules.items()
+    }
 
-    def reach(name: str, seen: set[str]) -> set[str]:
-        for other in needs[name] - seen:
-            seen.add(other)
-            reach(other, seen)
+    def find_reachable(name: str, seen: set[str]) -> set[str]:
+        for imported in imports[name] - seen:
+            seen.add(imported)
+            find_reachable(imported, seen)
         return seen
 
-    circular = [name for name in needs if name in reach(name, set())]
+    circular = [name for name in imports if name in find_reachable(name, set())]
     assert circular == []
