--- a/tests/failures/test_configuration.py
+++ b/tests/failures/test_configuration.py
@@ -9,7 +9,13 @@
 import pytest
 from standins.fleet import Fleet, wait_for
 
-from tests.lib.scenes import DEMO, base_url, in_background, send_request, start_desk
+from tests.lib.fleet_helpers import (
+    DEMO,
+    base_url,
+    run_in_background,
+    send_request,
+    start_desk,
+)
 
 pytestmark = pytest.mark.processes
 
@@ -75,7 +81,7 @@
     """
     start_desk(fleet, entries=2, agents=1)
     pending = [
-        in_background(
+        run_in_background(
             fleet.run_operator_command,
             "apply",
             _write_document(tmp_path, number + 3),
--- a/tests/failures/test_leaving.py
+++ b/tests/failures/test_leaving.py
@@ -4,16 +4,16 @@
 import pytest
 from standins.fleet import Fleet, ManagedProcess, wait_for
 
-from tests.lib.scenes import (
-    await_running,
+from tests.lib.fleet_helpers import (
     base_url,
     count_starts,
-    in_background,
     make_job,
     read_counter,
+    run_in_background,
     send_job,
     send_request,
     start_desk,
+    wait_for_running,
 )
 
 pytestmark = pytest.mark.processes
@@ -62,9 +62,9 @@
     would be cut off.
     """
     start_desk(fleet, agents=2)
-    job = in_background(send_job, fleet.entries[0], make_job(TASK_COUNT, run_ms=RUN_MS))
-    await_running(fleet, 16)
-    leaving = in_background(_stop_or_drain, fleet, initiator)
+    job = run_in_background(send_job, fleet.entries[0], make_job(TASK_COUNT, run_ms=RUN_MS))
+    wait_for_running(fleet, 16)
+    leaving = run_in_background(_stop_or_drain, fleet, initiator)
     before = _count_starts_once_leaving(fleet)
     answer = job.result(timeout=30)
     assert answer.status_code == 200, answer.text
@@ -84,8 +84,8 @@
     off requests.
     """
     start_desk(fleet, agents=2)
-    job = in_background(send_job, fleet.entries[0], make_job(TASK_COUNT, run_ms=RUN_MS))
-    await_running(fleet, 16)
+    job = run_in_background(send_job, fleet.entries[0], make_job(TASK_COUNT, run_ms=RUN_MS))
+    wait_for_running(fleet, 16)
     fleet.endpoints[0].stop()
     answer = job.result(timeout=30)
     assert answer.status_code == 200, answer.text
--- a/tests/failures/test_starts.py
+++ b/tests/failures/test_starts.py
@@ -5,15 +5,15 @@
 import pytest
 from standins.fleet import Fleet, wait_for
 
-from tests.lib.scenes import (
-    await_running,
+from tests.lib.fleet_helpers import (
     count_starts,
-    in_background,
     make_job,
     read_counter,
+    run_in_background,
     send_job,
     send_request,
     start_desk,
+    wait_for_running,
 )
 
 pytestmark = pytest.mark.processes
@@ -31,8 +31,8 @@
     the entry that sent them, tasks of the first submission would run beside the second.
     """
     start_desk(fleet, entries=2, agents=1, slots=4)
-    lost = in_background(send_job, fleet.entries[0], make_job(40, run_ms=150))
-    await_running(fleet, 4)
+    lost = run_in_background(send_job, fleet.entries[0], make_job(40, run_ms=150))
+    wait_for_running(fleet, 4)
     fleet.entries[0].kill()
     started_before_kill = len(count_starts(fleet))
     again = send_job(fleet.entries[1], make_job(20, run_ms=20))
@@ -57,8 +57,8 @@
     caller wait until the deadline.
     """
     start_desk(fleet, agents=2, proxied=True)
-    job = in_background(send_job, fleet.entries[0], make_job(60, run_ms=400))
-    await_running(fleet, 16)
+    job = run_in_background(send_job, fleet.entries[0], make_job(60, run_ms=400))
+    wait_for_running(fleet, 16)
     fleet.control_proxy(fleet.find_advertised_port(fleet.agents[0]), freeze=direction)
     answer = job.result(timeout=30)
     assert answer.status_code == 200, answer.text
@@ -82,7 +82,8 @@
     send_request(fleet.entries[0], {"run_ms": 1})
     fleet.agents[0].suspend()
     answers = [
-        in_background(send_request, fleet.entries[0], {"run_ms": 1}) for _ in range(4)
+        run_in_background(send_request, fleet.entries[0], {"run_ms": 1})
+        for _ in range(4)
     ]
     for answer in answers:
         failed = answer.result(timeout=40)
@@ -107,10 +108,10 @@
     """
     start_desk(fleet, agents=2)
     jobs = [
-        in_background(send_request, fleet.entries[0], {"run_ms": 1500})
+        run_in_background(send_request, fleet.entries[0], {"run_ms": 1500})
         for _ in range(8)
     ]
-    await_running(fleet, 8)
+    wait_for_running(fleet, 8)
     fleet.agents[0].kill()
     fleet.restart_agent(fleet.agents[0])
     outcomes = [job.result(timeout=30) for job in jobs]
--- a/tests/platform/test_watch.py
+++ b/tests/platform/test_watch.py
@@ -16,7 +16,7 @@
 from godwitbank._internal.network.http_client import NoAnswerError
 from godwitbank._internal.platform.operators import OperatorTableWatcher, Subscriber
 from godwitbank._internal.platform.store import StoreClient
-from tests.lib.virtual_time import run_virtually
+from tests.lib.virtual_time import run_in_virtual_time
 
 FAULT_OFFSETS_SECONDS = [step * 0.07 for step in range(40)]
 """Seconds by which a fault is shifted, so that it hits each phase of a poll and of its
@@ -193,7 +193,7 @@
             assert 2 in harness.received_at
 
     for offset in FAULT_OFFSETS_SECONDS:
-        run_virtually(run_scenario(offset))
+        run_in_virtual_time(run_scenario(offset))
 
 
 @pytest.mark.parametrize("deployment", DEPLOYMENTS)
@@ -212,7 +212,7 @@
             assert 2 in harness.received_at
 
     for offset in FAULT_OFFSETS_SECONDS:
-        run_virtually(run_scenario(offset))
+        run_in_virtual_time(run_scenario(offset))
 
 
 @pytest.mark.parametrize("garbage", [b"", b"{", TOO_DEEP_JSON, b'{"rows": 7}'])
@@ -227,7 +227,7 @@
             await asyncio.sleep(DEFAULT_DEPLOYMENT.change_timeout_seconds)
             assert 2 in harness.received_at
 
-    run_virtually(run_scenario())
+    run_in_virtual_time(run_scenario())
 
 
 def test_a_version_after_an_undecodable_one_is_received() -> None:
@@ -241,7 +241,7 @@
             assert sorted(harness.received_at) == [1, 3]
             assert harness.counts.get("rows_unusable", "op") == 1
 
-    run_virtually(run_scenario())
+    run_in_virtual_time(run_scenario())
 
 
 @pytest.mark.parametrize("entries", [1, 3, 35, 1300, 5000])
@@ -254,7 +254,7 @@
             share = DEFAULT_DEPLOYMENT.store_reads_per_second / 5 / entries
             assert len(harness.store.polls) <= 2 + seconds * min(1.0, share)
 
-    run_virtually(run_scenario())
+    run_in_virtual_time(run_scenario())
 
 
 def test_the_log_shows_how_long_the_store_was_silent() -> None:
@@ -275,4 +275,4 @@
             silence = read[1]["silence"]
             assert isinstance(silence, float) and silence > OUTAGE_SECONDS
 
-    run_virtually(run_scenario())
+    run_in_virtual_time(run_scenario())
