--- a/tests/failures/test_leaving.py
+++ b/tests/failures/test_leaving.py
@@ -62,7 +62,9 @@
     would be cut off.
     """
     start_desk(fleet, agents=2)
-    job = run_in_background(send_job, fleet.entries[0], make_job(TASK_COUNT, run_ms=RUN_MS))
+    job = run_in_background(
+        send_job, fleet.entries[0], make_job(TASK_COUNT, run_ms=RUN_MS)
+    )
     wait_for_running(fleet, 16)
     leaving = run_in_background(_stop_or_drain, fleet, initiator)
     before = _count_starts_once_leaving(fleet)
@@ -84,7 +86,9 @@
     off requests.
     """
     start_desk(fleet, agents=2)
-    job = run_in_background(send_job, fleet.entries[0], make_job(TASK_COUNT, run_ms=RUN_MS))
+    job = run_in_background(
+        send_job, fleet.entries[0], make_job(TASK_COUNT, run_ms=RUN_MS)
+    )
     wait_for_running(fleet, 16)
     fleet.endpoints[0].stop()
     answer = job.result(timeout=30)
