--- a/bench/lab/simulation.py
+++ b/bench/lab/simulation.py
@@ -387,7 +387,7 @@
             cores = self._measure_capacity(endpoint)
             if endpoint is None or not cores:
                 continue
-            used = len(endpoint.alive) * self._scenario.cpu
+            used = len(endpoint.active_runs) * self._scenario.cpu
             total += cores
             idle += cores * max(0.0, 1 - used / endpoint.capacity.cpu)
         return idle / total if total else 0.0
@@ -459,7 +459,7 @@
         """Measure the share of the run time spent on runs that weren't completed."""
         wasted = total = 0.0
         for endpoint in self.world.endpoints.values():
-            for ended_run in endpoint.lives if endpoint else ():
+            for ended_run in endpoint.ended_runs if endpoint else ():
                 spent = ended_run.ended - ended_run.began
                 total += spent
                 wasted += 0.0 if ended_run.end == "done" else spent
