--- a/src/godwitbank/_internal/core/agent.py
+++ b/src/godwitbank/_internal/core/agent.py
@@ -69,12 +69,12 @@
         first.
     """
 
-    __slots__ = ("stream", "hello", "heard_at", "unacknowledged", "digest")
+    __slots__ = ("stream", "hello", "last_received_at", "unacknowledged", "digest")
 
     def __init__(self, stream: int, hello: Hello, now: float) -> None:
         self.stream = stream
         self.hello = hello
-        self.heard_at = now
+        self.last_received_at = now
         self.unacknowledged: deque[TaskKey] = deque()
         self.digest = 0
 
@@ -227,7 +227,7 @@
         entry = self._streams.get(event.stream)
         if entry is None:
             return
-        entry.heard_at = self._now
+        entry.last_received_at = self._now
         handler = self._message_handlers.get(type(event.message))
         if handler is None:
             self.counts.add("streams_closed", "unexpected_message")
@@ -540,7 +540,7 @@
             self._announce_endpoint()
             self._announce_loads()
         for entry in list(self._streams.values()):
-            if self._now - entry.heard_at > self.timing.silence:
+            if self._now - entry.last_received_at > self.timing.silence:
                 self.counts.add("streams_closed", "silence")
                 self._actions.append(CloseStream(entry.stream, "silence"))
                 self._handle_stream_closed(StreamClosed(entry.stream))
--- a/src/godwitbank/_internal/core/entry.py
+++ b/src/godwitbank/_internal/core/entry.py
@@ -237,7 +237,7 @@
         message = event.message
         view = self.membership.agent_streams.get(event.stream)
         if view is not None:
-            view.heard_at = self._now
+            view.last_received_at = self._now
             handler = self._agent_message_handlers.get(type(message))
             if handler is None:
                 self._reject_message(event.stream)
@@ -246,7 +246,7 @@
             return
         peer = self.membership.peer_streams.get(event.stream)
         if peer is not None:
-            peer.heard_at = self._now
+            peer.last_received_at = self._now
             handler = self._peer_message_handlers.get(type(message))
             if handler is None:
                 self._reject_message(event.stream)
@@ -430,7 +430,7 @@
         views: list[AgentView | PeerView] = list(self.membership.agent_streams.values())
         views += self.membership.peer_streams.values()
         for view in views:
-            if self._now - view.heard_at > self.timing.silence:
+            if self._now - view.last_received_at > self.timing.silence:
                 stream = view.stream or 0
                 self.counts.add("streams_closed", "silence")
                 self._actions.append(CloseStream(stream, "silence"))
@@ -438,7 +438,7 @@
 
     def _expire_unreachable(self) -> None:
         for view in list(self.membership.agents.values()):
-            lost_for = self._now - (view.lost_at or view.heard_at)
+            lost_for = self._now - (view.lost_at or view.last_received_at)
             if view.stream is not None:
                 continue
             if lost_for > RECONNECT_TIMEOUT_SECONDS and view.outstanding:
--- a/src/godwitbank/_internal/core/membership.py
+++ b/src/godwitbank/_internal/core/membership.py
@@ -112,5 +112,8 @@
     def forget_peers(self) -> None:
         """Drop entries that have been unreachable for a long time."""
         for peer in list(self.peers.values()):
-            if peer.stream is None and self._now - peer.heard_at > FORGET_SECONDS:
+            if (
+                peer.stream is None
+                and self._now - peer.last_received_at > FORGET_SECONDS
+            ):
                 del self.peers[peer.address]
--- a/src/godwitbank/_internal/core/peers.py
+++ b/src/godwitbank/_internal/core/peers.py
@@ -13,7 +13,7 @@
         self.address = address
         self.process = ""
         self.stream: int | None = None
-        self.heard_at = now
+        self.last_received_at = now
         self.dialling = False
         self.dial_at = now
         self.dial_delay = FIRST_DIAL_DELAY_SECONDS
@@ -24,7 +24,7 @@
         """Record a new stream."""
         self.stream = stream
         self.process = process
-        self.heard_at = now
+        self.last_received_at = now
         self.dialling = False
         self.dial_delay = FIRST_DIAL_DELAY_SECONDS
 
--- a/src/godwitbank/_internal/core/pool.py
+++ b/src/godwitbank/_internal/core/pool.py
@@ -118,8 +118,8 @@
         self.leaving = False
         self.outstanding: dict[TaskKey, OutstandingStart] = {}
         self.clock = 0.0
-        self.clock_heard_at = now
-        self.heard_at = now
+        self.clock_received_at = now
+        self.last_received_at = now
         self.lost_at: float | None = None
         self.dialling = False
         self.dial_at = now
@@ -150,7 +150,7 @@
         self.dialling = False
         self.dial_delay = FIRST_DIAL_DELAY_SECONDS
         self.lost_at = None
-        self.heard_at = now
+        self.last_received_at = now
         self.acknowledged = 0
         self.demand = AnnouncedDemand()
         self._reported_free = 0
@@ -168,7 +168,7 @@
     def set_clock(self, clock: float, now: float) -> None:
         """Record the agent's clock, in seconds, and when it was received."""
         self.clock = clock
-        self.clock_heard_at = now
+        self.clock_received_at = now
 
     def postpone_dial(self, now: float) -> None:
         """Double the delay before the next dial, after one failed."""
@@ -212,7 +212,7 @@
             self.stream is not None
             and not self.leaving
             and bool(self.service)
-            and now - self.clock_heard_at < window / 2
+            and now - self.clock_received_at < window / 2
         )
 
 
--- a/src/godwitbank/_internal/core/quota.py
+++ b/src/godwitbank/_internal/core/quota.py
@@ -13,7 +13,7 @@
     """Demand that another entry reported, in starts per second."""
 
     demand: float
-    heard_at: float
+    received_at: float
 
 
 class Quota:
@@ -54,7 +54,7 @@
         others = [
             peer.demand + BASE_DEMAND_STARTS_PER_SECOND
             for peer in self._peers.values()
-            if now - peer.heard_at < self.PEER_DEMAND_LAPSE_SECONDS
+            if now - peer.received_at < self.PEER_DEMAND_LAPSE_SECONDS
         ]
         own = self.demand + BASE_DEMAND_STARTS_PER_SECOND
         return own / (own + sum(others))
--- a/src/godwitbank/_internal/core/runs/delays.py
+++ b/src/godwitbank/_internal/core/runs/delays.py
@@ -53,15 +53,15 @@
         self.claim_sent = True
         self.unanswered_streams = set(streams)
 
-    def handle_claimed(self, stream: int, all_stopped: bool) -> bool:
+    def handle_claimed(self, stream: int, all_ended: bool) -> bool:
         """Process an agent's answer to a claim.
 
-        :param all_stopped: whether no other entry's run is left at the agent.
+        :param all_ended: whether no other entry's run is left at the agent.
         :return: whether all agents have now confirmed this.
         """
         if stream not in self.unanswered_streams:
             return False
-        if not all_stopped:
+        if not all_ended:
             self.stopping_streams.add(stream)
             return False
         self.stopping_streams.discard(stream)
--- a/src/godwitbank/_internal/core/runs/entry.py
+++ b/src/godwitbank/_internal/core/runs/entry.py
@@ -362,13 +362,13 @@
         if view is not None:
             self.dispatcher.handle_agent_loss(view)
             return
-        self.handover.reachability.drop_stream(event.stream)
+        self.handover.reachability.handle_stream_loss(event.stream)
         if self.links.find(link.hello.incarnation) is None:
             self.handover.handle_peer_loss(link)
             self._update_entry_count()
             self.dispatcher.admission.forget_peer(link.hello.incarnation)
         self.intake.handle_stream_loss(event.stream)
-        self.handover.drop_stream(event.stream)
+        self.handover.handle_stream_loss(event.stream)
 
     def _resume_after_pause(self) -> None:
         """Close all streams and end all jobs after a pause of this process.
--- a/src/godwitbank/_internal/core/runs/handover.py
+++ b/src/godwitbank/_internal/core/runs/handover.py
@@ -52,12 +52,12 @@
     """A job that was requested from its home and not decided yet.
 
     :param stream: on which the request was sent.
-    :param number: of the request.
+    :param request_number: number of that request.
     """
 
     job: Job
     stream: int
-    number: int
+    request_number: int
 
 
 class Handover:
@@ -236,7 +236,7 @@
         # must know which of these jobs it has granted to this entry.
         self._announcements.announce_pending(self._now)
 
-    def drop_stream(self, stream: int) -> None:
+    def handle_stream_loss(self, stream: int) -> None:
         """Request jobs again whose request was sent on a closed stream."""
         self.homes.drop_stream(stream)
         self._retry_requests(stream)
@@ -390,7 +390,11 @@
         self.homes.handle_answer(link.stream, message)
         pending = self._pending_requests.get(message.job)
         own = message.requester == self._links.own_incarnation
-        if not own or pending is None or pending.number != message.request_number:
+        if (
+            not own
+            or pending is None
+            or pending.request_number != message.request_number
+        ):
             return
         if not message.owner:
             self._pending_requests[message.job] = pending._replace(stream=RETRY_STREAM)
--- a/src/godwitbank/_internal/core/runs/homes.py
+++ b/src/godwitbank/_internal/core/runs/homes.py
@@ -37,12 +37,13 @@
     """The permission of an entry to start a job.
 
     :param owner: the entry's incarnation.
-    :param number: of the entry's request; 0 if it took the job over without one.
+    :param request_number: number of the entry's request; 0 if it took the job over
+        without one.
     :param at: when it was granted, in seconds.
     """
 
     owner: str
-    number: int
+    request_number: int
     at: float
 
 
@@ -50,7 +51,7 @@
     """An entry's request to start a job.
 
     :param owner: the requesting entry's incarnation.
-    :param number: counts the requests of that entry.
+    :param request_number: number of the request, counted by that entry.
     :param stream: on which the requesting entry, or the one that relayed the request,
         is answered.
     :param acting: whether this entry decides in place of the home.
@@ -59,7 +60,7 @@
 
     job: str
     owner: str
-    number: int
+    request_number: int
     stream: int
     acting: bool
     hops: int
@@ -95,10 +96,10 @@
     def __init__(self) -> None:
         self._grants: OrderedDict[str, Grant] = OrderedDict()
 
-    def add(self, job: str, owner: str, number: int, now: float) -> None:
+    def add(self, job: str, owner: str, request_number: int, now: float) -> None:
         """Record that an entry may start a job."""
         self._grants.pop(job, None)
-        self._grants[job] = Grant(owner, number, now)
+        self._grants[job] = Grant(owner, request_number, now)
         while now - next(iter(self._grants.values())).at > GRANT_RETENTION_SECONDS:
             self._grants.popitem(last=False)
 
@@ -112,19 +113,19 @@
         if job in self._grants and self.find_owner(job) != owner:
             self.add(job, owner, 0, now)
 
-    def remove(self, job: str, owner: str, number: int, now: float) -> None:
+    def remove(self, job: str, owner: str, request_number: int, now: float) -> None:
         """Remove a grant that its owner released.
 
         A release may be delayed on its way and arrive after the owner's next request
-        for the same job; the newer grant is kept then. A release without a number
-        removes a numbered grant only once it is older than the timeout of a busy
+        for the same job; the newer grant is kept then. A release without a request
+        number removes a numbered grant only once it is older than the timeout of a busy
         stream, the longest time for which an earlier release may have been delayed.
         """
         grant = self._grants.get(job)
         if grant is None or grant.owner != owner:
             return
-        exact = grant.number == number or not grant.number
-        if exact or (not number and now - grant.at > BUSY_TIMEOUT_SECONDS):
+        exact = grant.request_number == request_number or not grant.request_number
+        if exact or (not request_number and now - grant.at > BUSY_TIMEOUT_SECONDS):
             del self._grants[job]
 
     def list_by_owner(self) -> dict[str, dict[str, float]]:
@@ -220,12 +221,14 @@
         :return: the number of the request.
         """
         self._released.pop(job, None)
-        number = self._request_numbers[job] = next(self._counter)
+        request_number = self._request_numbers[job] = next(self._counter)
         own = self._links.own_incarnation
         self._emit(
-            Send(route.stream, Acquire(job, own, number, route.acting, MAX_HOPS))
+            Send(
+                route.stream, Acquire(job, own, request_number, route.acting, MAX_HOPS)
+            )
         )
-        return number
+        return request_number
 
     def release(self, job: str) -> None:
         """Note that no run of a job is left here, to be told to its home."""
@@ -241,7 +244,7 @@
 
     # Requests of other entries
 
-    def decide(self, job: str, owner: str, number: int = 0) -> str | None:
+    def decide(self, job: str, owner: str, request_number: int = 0) -> str | None:
         """Decide which entry owns a job; it is granted to the requester if none does.
 
         :param owner: incarnation of the requesting entry.
@@ -249,7 +252,7 @@
         """
         current_owner = self._find_current_owner(job)
         if current_owner in ("", owner):
-            self.grants.add(job, owner, number, self._now)
+            self.grants.add(job, owner, request_number, self._now)
             if owner == self._links.own_incarnation:
                 self._released.pop(job, None)
             return owner
@@ -273,10 +276,12 @@
         if route.stream:
             self._relay(request, route)
             return True
-        current_owner = self.decide(request.job, request.owner, request.number)
+        current_owner = self.decide(request.job, request.owner, request.request_number)
         if current_owner is None:
             return False
-        answer = Acquired(request.job, request.owner, request.number, current_owner)
+        answer = Acquired(
+            request.job, request.owner, request.request_number, current_owner
+        )
         self._emit(Send(request.stream, answer))
         return True
 
@@ -292,12 +297,12 @@
         return other and other._replace(acting=True)
 
     def _relay(self, request: AcquireRequest, route: Route) -> None:
-        job, owner, number, _, _, hops = request
+        job, owner, request_number, _, _, hops = request
         if hops == 0 or route.stream == request.stream:
-            self._emit(Send(request.stream, Acquired(job, owner, number, "")))
+            self._emit(Send(request.stream, Acquired(job, owner, request_number, "")))
             return
         self._relayed.setdefault(route.stream, []).append(request)
-        message = Acquire(job, owner, number, route.acting, hops - 1)
+        message = Acquire(job, owner, request_number, route.acting, hops - 1)
         self._emit(Send(route.stream, message))
 
     def handle_answer(self, stream: int, answer: Acquired) -> None:
@@ -313,19 +318,21 @@
         """Record and relay that no run of some jobs is left at an entry."""
         owner, hops = release.owner, release.hops
         relayed: dict[int, dict[str, int]] = {}
-        for job, number in zip(release.jobs, release.request_numbers, strict=False):
-            self._record_release(job, owner, number)
+        for job, request_number in zip(
+            release.jobs, release.request_numbers, strict=False
+        ):
+            self._record_release(job, owner, request_number)
             route = self.find_route(job)
             if route is not None and route.stream and hops:
-                relayed.setdefault(route.stream, {})[job] = number
+                relayed.setdefault(route.stream, {})[job] = request_number
         for stream, jobs in relayed.items():
             remaining = Release(list(jobs), list(jobs.values()), owner, hops - 1)
             self._emit(Send(stream, remaining))
 
-    def _record_release(self, job: str, owner: str, number: int) -> None:
-        released_request = (job, owner, number)
+    def _record_release(self, job: str, owner: str, request_number: int) -> None:
+        released_request = (job, owner, request_number)
         self._waiting = [each for each in self._waiting if each[:3] != released_request]
-        self.grants.remove(job, owner, number, self._now)
+        self.grants.remove(job, owner, request_number, self._now)
         if self._ownership.find_owner(job) == owner:
             self._ownership.forget(job)
 
--- a/src/godwitbank/_internal/core/runs/indirect_probes.py
+++ b/src/godwitbank/_internal/core/runs/indirect_probes.py
@@ -111,11 +111,11 @@
 class Subscriber(NamedTuple):
     """An entry that probes another one.
 
-    :param asked_at: when it sent the probe, in seconds.
+    :param requested_at: when it sent the probe, in seconds.
     """
 
     stream: int
-    asked_at: float
+    requested_at: float
 
 
 class ProbeRequests:
@@ -153,7 +153,9 @@
             address, []
         )
         fresh = [
-            each for each in recipients if now - each.asked_at < SUBSCRIPTION_SECONDS
+            each
+            for each in recipients
+            if now - each.requested_at < SUBSCRIPTION_SECONDS
         ]
         if fresh:
             self._unanswered[address] = fresh
@@ -166,7 +168,7 @@
         self._subscribers[address] = [
             each
             for each in self._subscribers[address]
-            if now - each.asked_at < SUBSCRIPTION_SECONDS
+            if now - each.requested_at < SUBSCRIPTION_SECONDS
         ]
         return [each.stream for each in self._subscribers[address]]
 
--- a/src/godwitbank/_internal/core/runs/reachability.py
+++ b/src/godwitbank/_internal/core/runs/reachability.py
@@ -133,7 +133,7 @@
         # An earlier process at that address stays lost, as its runs may be alive.
         return lost if lost.startswith(UNREACHED_PREFIX) else ""
 
-    def drop_stream(self, stream: int) -> None:
+    def handle_stream_loss(self, stream: int) -> None:
         """Drop a closed stream to an entry, and probe through others in its place."""
         self._probe_requests.drop_stream(stream)
         self._relays = {
--- a/src/godwitbank/_internal/core/service.py
+++ b/src/godwitbank/_internal/core/service.py
@@ -23,7 +23,7 @@
     """Waiting work that another entry reported, in seconds of run time."""
 
     seconds: float
-    heard_at: float
+    received_at: float
 
 
 class Refusal(NamedTuple):
@@ -102,7 +102,7 @@
         others = sum(
             peer.seconds
             for peer in self.peer_backlogs.values()
-            if now - peer.heard_at < PEER_BACKLOG_LAPSE_SECONDS
+            if now - peer.received_at < PEER_BACKLOG_LAPSE_SECONDS
         )
         if own > 0:
             ahead += others * ahead / own
--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -59,7 +59,7 @@
     Break(
         "silence tolerated",
         f"{CORE}/entry.py",
-        "if self._now - view.heard_at > self.timing.silence:",
+        "if self._now - view.last_received_at > self.timing.silence:",
         "if False:",
         f"{FAILURES}/test_starts.py::test_frozen_link_is_resolved_on_a_new_one",
     ),
@@ -303,8 +303,8 @@
     Break(
         "a release undoes a newer grant",
         f"{LEASED}/homes.py",
-        "        exact = grant.number == number or not grant.number",
-        "        exact = True",
+        "exact = grant.request_number == request_number or not grant.request_number",
+        "exact = True",
         f"{RUNS}/test_homes.py",
     ),
     Break(
--- a/tests/core/runs/test_delays.py
+++ b/tests/core/runs/test_delays.py
@@ -26,21 +26,21 @@
 
 def test_claim_is_complete_after_all_agents_answered() -> None:
     delayed = make_delayed()
-    assert not delayed.handle_claimed(1, all_stopped=True)
-    assert delayed.handle_claimed(2, all_stopped=True)
+    assert not delayed.handle_claimed(1, all_ended=True)
+    assert delayed.handle_claimed(2, all_ended=True)
 
 
 def test_job_waits_for_an_agent_that_is_stopping_runs() -> None:
     delayed = make_delayed()
-    delayed.handle_claimed(1, all_stopped=False)
-    delayed.handle_claimed(2, all_stopped=True)
+    delayed.handle_claimed(1, all_ended=False)
+    delayed.handle_claimed(2, all_ended=True)
     assert not delayed.may_start(make_links(), NOW + 5.0, expects_answers=False)
-    assert delayed.handle_claimed(1, all_stopped=True)
+    assert delayed.handle_claimed(1, all_ended=True)
 
 
 def test_job_waits_for_leases_of_an_agent_lost_while_stopping_runs() -> None:
     delayed = make_delayed()
-    delayed.handle_claimed(1, all_stopped=False)
+    delayed.handle_claimed(1, all_ended=False)
     links = make_links()
     del links[1]
     assert not delayed.may_start(links, NOW + 0.2, expects_answers=False)
