--- a/src/godwitbank/_internal/core/runs/addresses.py
+++ b/src/godwitbank/_internal/core/runs/addresses.py
@@ -35,7 +35,7 @@
 PASSIVE_DIAL_DELAY_SECONDS = 0.1
 """Seconds for which the entry with the higher address waits for the other to dial.
 
-This prevents that two entries that start at the same time open two streams to each
+This keeps two entries that start at the same time from opening two streams to each
 other.
 """
 
--- a/src/godwitbank/_internal/core/runs/admission.py
+++ b/src/godwitbank/_internal/core/runs/admission.py
@@ -1,7 +1,8 @@
 """Admission control: refuses jobs that can't be served in time.
 
 A caller that is refused at once can try elsewhere. One that waits for a job that won't
-be served in time loses that time, and its job uses capacity of jobs that could be.
+be served in time loses that time, and its job uses capacity with which other jobs could
+be served in time.
 """
 
 from bisect import bisect_left
@@ -10,7 +11,8 @@
 from godwitbank._internal.core.runs.policy import DEFAULT_POLICY, Policy
 
 HORIZONS_SECONDS = (0.1, 0.2, 0.4, 0.8, 1.6, 1e9)
-"""Seconds until the latest start; entries report the backlog within each to peers."""
+"""Upper bounds of the time until a task must start, in seconds. Entries report to their
+peers how much of their backlog must start within each."""
 
 RETRY_AFTER_SECONDS = 1.0
 """Seconds after which a refused caller may retry."""
@@ -26,8 +28,8 @@
 """Seconds that all endpoints together may need for the backlog ahead of a new job.
 
 Above it, more work arrives than can be served, and every accepted job makes another one
-late: a long job that may wait a second is overtaken for longer than that. Less urgent
-work doesn't count, because the new job is served before it.
+late: even a long job that may wait a second is overtaken by more urgent ones for longer
+than that. Less urgent work doesn't count, because the new job is served before it.
 """
 
 SIZE_EXPONENT = 0.5
--- a/src/godwitbank/_internal/core/runs/agent.py
+++ b/src/godwitbank/_internal/core/runs/agent.py
@@ -422,7 +422,7 @@
     # Status updates to entries
 
     def _update_busy_links(self) -> None:
-        """Update which streams carry runs; those entries must be heard from often."""
+        """Update which streams carry runs; their entries must send heartbeats often."""
         owners = set(self.held_runs.owners)
         if owners == self._owners and not self._links_changed:
             return
--- a/src/godwitbank/_internal/core/runs/claims.py
+++ b/src/godwitbank/_internal/core/runs/claims.py
@@ -1,7 +1,7 @@
 """Claims of jobs at one agent: which entry may have runs of a job here.
 
 Two entries that can't reach each other may both own a job. The agents reach both, and
-let the newest claim win, as the job's caller went from the other entry to that one.
+let the newest claim win, because the job's caller has moved to the entry that sent it.
 Agents may receive two almost simultaneous claims in different order. The order of the
 claimants' incarnations decides between these, so that every agent picks the same entry.
 """
@@ -58,7 +58,7 @@
         return claimant.incarnation if claimant.incarnation > incarnation else ""
 
     def allows(self, job: str, incarnation: str) -> bool:
-        """Tell whether an entry may start runs of a job, by the last claim of it."""
+        """Return whether an entry may start runs of a job, by the last claim of it."""
         claimant = self._claims.get(job)
         return claimant is None or claimant.incarnation == incarnation
 
@@ -74,7 +74,7 @@
     def begin_stop(self, job: str) -> int | None:
         """Record that other entries' runs of a job are being stopped.
 
-        :return: the stream on which to tell so; ``None`` if that was done already.
+        :return: the stream on which to report this; ``None`` if that was done already.
         """
         if job in self._stopping:
             return None
--- a/src/godwitbank/_internal/core/runs/delays.py
+++ b/src/godwitbank/_internal/core/runs/delays.py
@@ -16,7 +16,7 @@
 class DelayedJob:
     """A job whose start is delayed until other entries' runs of it have ended.
 
-    :ivar requested_at: time in seconds at which the other runs were asked to stop.
+    :ivar requested_at: time in seconds at which the stop of these runs was requested.
     :ivar start_at: time in seconds at which to check again whether the job may start.
     :ivar abandoned: whether the job will not be started here, while another entry that
         wants to start it waits for this one.
@@ -56,7 +56,8 @@
     def handle_claimed(self, stream: int, all_ended: bool) -> bool:
         """Process an agent's answer to a claim.
 
-        :param all_ended: whether no other entry's run is left at the agent.
+        :param all_ended: whether no other entry's run of the job is left at the agent;
+            otherwise the agent is still stopping some.
         :return: whether all agents have now confirmed this.
         """
         if stream not in self.unanswered_streams:
--- a/src/godwitbank/_internal/core/runs/dispatcher.py
+++ b/src/godwitbank/_internal/core/runs/dispatcher.py
@@ -260,7 +260,7 @@
         for step in job.tasks:
             for task in step:
                 self._drop_task(task)
-        self._remove_if_over(job)
+        self._remove_if_ended(job)
 
     def _drop_task(self, task: Task) -> None:
         if task.state is TaskState.WAITING:
@@ -274,7 +274,7 @@
                 self._counts.add("stops_sent")
                 self._emit(Send(view.stream, StopRun(task.name, task.run)))
 
-    def _remove_if_over(self, job: Job) -> None:
+    def _remove_if_ended(self, job: Job) -> None:
         """Remove a job whose result is out once none of its runs can be alive."""
         if job.ending and not job.list_active_tasks() and not job.ended:
             job.ended = True
@@ -336,7 +336,7 @@
             task.run,
             task.job.spec.payload,
             *step_spec.needs,
-            self._rank_in(task),
+            self._compute_agent_rank(task),
             task.expected,
             step_spec.spread,
             task.checkpoint,
@@ -345,7 +345,7 @@
         )
         self._emit(Send(view.stream, order))
 
-    def _rank_in(self, task: Task) -> float:
+    def _compute_agent_rank(self, task: Task) -> float:
         seconds_left = task.job.rank - self._now
         if not self._policy.late_last:
             return seconds_left
@@ -471,7 +471,7 @@
         job = task.job
         if job.ending:
             task.state = TaskState.DONE
-            self._remove_if_over(job)
+            self._remove_if_ended(job)
         elif end is RunEnd.DONE:
             self._complete(task)
         elif end is RunEnd.FAILED:
@@ -549,7 +549,7 @@
     def release_orphaned_runs(self, view: AgentView) -> None:
         """Count the orphaned runs at an agent as lost, and retry their tasks.
 
-        Called once everything that the agent's predecessor had started is over.
+        Called once all runs that the agent's previous process had started have ended.
         """
         for task in [each for each in self._orphaned if each.agent == view.address]:
             self._release_orphan(task)
--- a/src/godwitbank/_internal/core/runs/endpoint.py
+++ b/src/godwitbank/_internal/core/runs/endpoint.py
@@ -59,6 +59,11 @@
     """Identity, clock, lease and fencing token of one endpoint.
 
     :param now: current time in seconds.
+    :ivar instance: name of the endpoint's current boot; empty while it is unknown.
+    :ivar token: newest fencing token; 0 until one was chosen for this boot.
+    :ivar reconciled: whether the endpoint's last list of runs had none that this agent
+        process didn't start.
+    :ivar reporting: whether the endpoint's reports arrive in time.
     """
 
     def __init__(self, now: float, deployment: Deployment = DEFAULT_DEPLOYMENT) -> None:
--- a/src/godwitbank/_internal/core/runs/entry.py
+++ b/src/godwitbank/_internal/core/runs/entry.py
@@ -329,7 +329,7 @@
         self._send(event.stream, Peers(self.links.addresses.list_known(), []))
         self.handover.handle_peer_connected(link)
         self._update_entry_count()
-        # Before the configuration, after which the other entry places runs.
+        # Sent first: a configuration makes the other entry place runs.
         self._send_evacuation(event.stream)
         self._send_configuration(event.stream)
 
--- a/src/godwitbank/_internal/core/runs/fleet.py
+++ b/src/godwitbank/_internal/core/runs/fleet.py
@@ -263,8 +263,8 @@
     def awaits_endpoint(self, now: float) -> bool:
         """Return whether a new agent hasn't learnt of its endpoint yet.
 
-        An agent that hasn't learnt of one within the arrival time is taken to have
-        none, so that nothing waits for it.
+        An agent that hasn't learnt of one within its startup time is taken to have
+        none, so that no job waits for it.
         """
         return any(
             now - view.opened_at < self._agent_startup_seconds
--- a/src/godwitbank/_internal/core/runs/handover.py
+++ b/src/godwitbank/_internal/core/runs/handover.py
@@ -97,7 +97,7 @@
         self.join: Callable[[Job, Link], None] = lambda job, link: None
         """Makes the callers of a job wait for it at another entry."""
         self.has_transferred: Callable[[str], bool] = lambda job: False
-        """Tells whether a job that this entry may start was forwarded elsewhere."""
+        """Returns whether a job that this entry may start was forwarded elsewhere."""
         self._readiness = Readiness(links, self._ownership, self.reachability, now)
         self._announcements = OwnershipAnnouncements(links)
         self._yields = YieldWaiters()
@@ -271,7 +271,7 @@
             self._dispatcher.give_up(job, reason)
 
     def may_run_elsewhere(self) -> bool:
-        """Tell whether a job that lost its runs may by now have another owner."""
+        """Return whether a job that lost its runs may by now have another owner."""
         return not self._connects_to_all_agents and self._may_miss_owners()
 
     def _may_miss_owners(self) -> bool:
@@ -312,7 +312,7 @@
             self._acquire(job)
 
     def _is_stopping(self, name: str) -> bool:
-        """Tell whether an earlier submission of a job is still being stopped here."""
+        """Return whether an earlier submission of a job is still being stopped here."""
         return name in self._dispatcher.jobs or name in self._delayed
 
     def _acquire(self, job: Job) -> None:
@@ -325,8 +325,10 @@
             current_owner = self.homes.decide(name, self._links.own_incarnation)
             self._handle_decision(job, current_owner)
         else:
-            number = self.homes.request_job(name, route)
-            self._pending_requests[name] = PendingRequest(job, route.stream, number)
+            request_number = self.homes.request_job(name, route)
+            self._pending_requests[name] = PendingRequest(
+                job, route.stream, request_number
+            )
 
     def find_home(self, name: str) -> Link | None:
         """Return the link to a job's home; ``None`` if it is here or unknown."""
@@ -357,7 +359,10 @@
             self._contact_owner(job, current_owner)
 
     def _contact_owner(self, job: Job, owner: str) -> None:
-        """Make a job's callers wait at its owner, or ask a silent owner to stop it."""
+        """Make a job's callers wait at its owner, or ask the owner to stop the job.
+
+        The owner is asked to stop the job if it is unreachable or unresponsive.
+        """
         link = self._links.find(owner)
         if link is not None and self._links.is_responsive(link, self._now):
             self.join(job, link)
@@ -381,8 +386,8 @@
 
     def handle_acquire(self, link: Link, message: Acquire) -> None:
         """Decide about a job that another entry requests, or relay the request."""
-        job, owner, number, acting, hops = message
-        request = AcquireRequest(job, owner, number, link.stream, acting, hops)
+        job, owner, request_number, acting, hops = message
+        request = AcquireRequest(job, owner, request_number, link.stream, acting, hops)
         self.homes.handle_request(request)
 
     def handle_acquired(self, link: Link, message: Acquired) -> None:
@@ -429,7 +434,7 @@
         return owner
 
     def _has_expired(self, owner: str) -> bool:
-        """Tell whether no run that an entry ordered can be alive any more."""
+        """Return whether no run that an entry ordered can be alive any more."""
         if self._links.find(
             owner
         ) is not None or self.reachability.is_indirectly_reachable(owner):
@@ -441,7 +446,7 @@
         self.homes.release(name)
 
     def _must_wait(self, job: Job) -> bool:
-        """Tell whether a held job must wait longer.
+        """Return whether a held job must wait longer.
 
         That is so while an earlier submission of it is being stopped here, and while
         its home may be a lost entry and neither an owner nor all agents can be asked.
@@ -702,7 +707,7 @@
     def _yield_to_later_owner(
         self, name: str, age: float, new_owner: Link | None
     ) -> None:
-        """Give up a job that another entry owns since a later time than this entry.
+        """Give up a job if another entry became its owner later than this entry.
 
         Its caller went to the other entry while this one was cut off or suspended.
 
--- a/src/godwitbank/_internal/core/runs/held_runs.py
+++ b/src/godwitbank/_internal/core/runs/held_runs.py
@@ -30,6 +30,13 @@
     :param order: the start order from the entry.
     :param owner: incarnation of the entry that sent the order.
     :param now: current time in seconds.
+    :ivar rank: time by which parked runs are ordered; the earliest starts first.
+    :ivar ordered_at: when the endpoint was last ordered to start the run.
+    :ivar token: fencing token of that order.
+    :ivar passed_over: number of runs that started ahead of it while it didn't fit.
+    :ivar stop_reason: why the run was ordered to stop; empty if it wasn't.
+    :ivar stopped_at: when the endpoint was last ordered to stop the run.
+    :ivar confirmed_at: when the endpoint confirmed the start; infinite until then.
     """
 
     __slots__ = (
@@ -94,7 +101,16 @@
 
 
 class HeldRuns:
-    """Runs of one agent: parked ones by rank, and placed ones that use capacity."""
+    """Runs of one agent: parked ones by rank, and placed ones that use capacity.
+
+    :ivar runs: all runs, by task name.
+    :ivar owners: number of runs of each entry, by the entry's incarnation.
+    :ivar placed_owners: the same for the placed runs.
+    :ivar capacity: resources of the endpoint.
+    :ivar used: resources that the placed runs use.
+    :ivar parked_needs: resources that the parked runs need.
+    :ivar parked: number of parked runs.
+    """
 
     def __init__(self) -> None:
         self.runs: dict[str, HeldRun] = {}
--- a/src/godwitbank/_internal/core/runs/homes.py
+++ b/src/godwitbank/_internal/core/runs/homes.py
@@ -139,9 +139,9 @@
 class Homes:
     """Requests jobs from their homes, and decides about jobs that have their home here.
 
-    :param connects_to_all_agents: tells whether each agent has a stream to every entry,
-        so that agents can tell which jobs of lost entries they run.
-    :param is_synced: tells whether this entry knows which jobs other entries own.
+    :param connects_to_all_agents: returns whether each agent has a stream to every
+        entry, so that agents can tell which jobs of lost entries they run.
+    :param is_synced: returns whether this entry knows which jobs other entries own.
     :param find_current_owner: returns the incarnation of the entry that owns a job, as
         far as this entry knows; empty if none does, ``None`` if that is undecided yet.
     """
@@ -207,7 +207,7 @@
         return Route(streams[home], False)
 
     def may_be_lost(self, job: str) -> bool:
-        """Tell whether a job's home may be a recently lost entry."""
+        """Return whether a job's home may be a recently lost entry."""
         peers = [link.hello.address for link in self._links.list_peers()]
         lost = self._ownership.list_lost_addresses()
         addresses = {*peers, *lost, self._links.addresses.own}
@@ -231,11 +231,11 @@
         return request_number
 
     def release(self, job: str) -> None:
-        """Note that no run of a job is left here, to be told to its home."""
+        """Record that no run of a job is left here, for the next announcement."""
         self._released[job] = self._request_numbers.pop(job, 0)
 
     def announce_released(self) -> None:
-        """Tell the homes which jobs were released since the last announcement."""
+        """Announce to their homes the jobs released since the last announcement."""
         if self._released:
             released, self._released = self._released, {}
             own = self._links.own_incarnation
--- a/src/godwitbank/_internal/core/runs/indirect_probes.py
+++ b/src/godwitbank/_internal/core/runs/indirect_probes.py
@@ -73,11 +73,11 @@
         return True
 
     def is_reachable_through(self, stream: int, address: str) -> bool:
-        """Tell whether the entry on a stream has said that it reaches a lost one."""
+        """Return whether the entry on a stream has said that it reaches a lost one."""
         return self._relays.get(address) == stream
 
     def is_reachable(self, address: str) -> bool:
-        """Tell whether any other entry reaches a lost one."""
+        """Return whether any other entry reaches a lost one."""
         return address in self._relays
 
     def list_reachable(self) -> dict[str, int]:
@@ -132,8 +132,8 @@
     def handle_alive(self, address: str) -> list[int]:
         """Record that a frame from an entry arrived.
 
-        :return: streams on which to tell so. Their entries get the announcements of
-            that entry from now on.
+        :return: streams of the entries that probe it, on which to answer. These entries
+            get its announcements from now on.
         """
         probes = self._unanswered.pop(address, None)
         if probes is None:
@@ -147,7 +147,7 @@
         Recent probes stay open, so that they are answered again if another process
         starts at the same address.
 
-        :return: streams on which to tell so.
+        :return: streams of the entries that probe it, on which to report the loss.
         """
         recipients = self._unanswered.pop(address, []) + self._subscribers.pop(
             address, []
--- a/src/godwitbank/_internal/core/runs/intake.py
+++ b/src/godwitbank/_internal/core/runs/intake.py
@@ -42,7 +42,7 @@
         self._forwarding = forwarding
         self._pressure = pressure
         self._counts = counts
-        self._adoption = RemoteCallers()
+        self._remote_callers = RemoteCallers()
         self._now = 0.0
         self._emit: Callable[[RunAction], None] = lambda action: None
 
@@ -78,7 +78,7 @@
             return
         if self._join(event):
             return
-        is_remote = self._adoption.is_remote(event.caller)
+        is_remote = self._remote_callers.is_remote(event.caller)
         if not is_remote and self._forwarding.try_forward(event):
             return
         if self._pressure.overloaded:
@@ -144,7 +144,7 @@
     def handle_forward(self, link: Link, message: Forward) -> None:
         """Handle a job that another entry forwarded."""
         self.submit(
-            self._adoption.accept_forward(link.stream, message), message.acquired
+            self._remote_callers.accept_forward(link.stream, message), message.acquired
         )
 
     def handle_join(self, link: Link, message: Join) -> None:
@@ -152,10 +152,10 @@
         name = message.job
         known = self._find_known(name)
         if known is not None:
-            known.callers.append(self._adoption.add_caller(link.stream, name))
+            known.callers.append(self._remote_callers.add_caller(link.stream, name))
             known.deadline = max(known.deadline, self._now + message.timeout_seconds)
         elif self._forwarding.can_join(name, link.stream):
-            caller = self._adoption.add_caller(link.stream, name)
+            caller = self._remote_callers.add_caller(link.stream, name)
             self._forwarding.add_caller(name, caller)
         else:
             self._handover.handle_join(link, name)
@@ -167,8 +167,8 @@
 
     def handle_withdraw(self, link: Link, message: Withdraw) -> None:
         """Give up a job for which another entry's callers no longer wait."""
-        for caller_gone in self._adoption.withdraw(link.stream, message.job):
-            self.handle_caller_loss(caller_gone)
+        for disconnected in self._remote_callers.withdraw(link.stream, message.job):
+            self.handle_caller_loss(disconnected)
 
     def handle_stream_loss(self, stream: int) -> None:
         """Handle the loss of the stream to another entry.
@@ -177,9 +177,9 @@
         forwarded here.
         """
         self._forwarding.handle_stream_loss(stream)
-        for caller_gone in self._adoption.drop_stream(stream):
-            self.handle_caller_loss(caller_gone)
+        for disconnected in self._remote_callers.drop_stream(stream):
+            self.handle_caller_loss(disconnected)
 
     def route_answers(self, actions: Iterable[RunAction]) -> list[RunAction]:
         """Replace answers to other entries' callers by messages to those entries."""
-        return self._adoption.route_answers(actions)
+        return self._remote_callers.route_answers(actions)
--- a/src/godwitbank/_internal/core/runs/jobs.py
+++ b/src/godwitbank/_internal/core/runs/jobs.py
@@ -36,7 +36,8 @@
     :ivar lapses_at: time at which an orphaned run has certainly lost its lease.
     :ivar sent_at: time at which the current run was sent.
     :ivar moves: times a run was moved because its endpoint was slow.
-    :ivar passed_over: tasks placed while this one, ahead of them, found no agent.
+    :ivar passed_over: number of tasks that were behind this one in the queue, but were
+        placed while it found no agent.
     """
 
     __slots__ = (
--- a/src/godwitbank/_internal/core/runs/lease.py
+++ b/src/godwitbank/_internal/core/runs/lease.py
@@ -20,9 +20,9 @@
 OWNER_LIVENESS_SECONDS = 1.0
 """Seconds for which runs may continue after their owner was last known to be alive.
 
-This is longer than the silence after which an agent stops an entry's runs, plus the
-time to stop them. Otherwise the lease of the endpoint would end first, and with it the
-runs of other entries.
+This is longer than the timeout of a busy stream, after which an agent stops an entry's
+runs, plus the time to stop them. Otherwise the lease of the endpoint would end first,
+and with it the runs of other entries.
 """
 
 LAPSE_SECONDS = OWNER_LIVENESS_SECONDS + LAPSE_SLACK_SECONDS
--- a/src/godwitbank/_internal/core/runs/links.py
+++ b/src/godwitbank/_internal/core/runs/links.py
@@ -93,8 +93,8 @@
 PROBE_TIMEOUT_SECONDS = 0.4
 """Seconds without a frame after a probe, after which a stream counts as dead.
 
-The other end answers a probe at once. The stream is idle, so that little is lost if
-this timeout was too short.
+The other end answers a probe at once. The stream is idle, so little is lost if it is
+closed too early.
 """
 
 CLOCK_WINDOW_SECONDS = 10.0
--- a/src/godwitbank/_internal/core/runs/ownership.py
+++ b/src/godwitbank/_internal/core/runs/ownership.py
@@ -1,4 +1,4 @@
-"""Which entry owns which job, as far as this entry has been told.
+"""Which entry owns which job, as far as other entries have announced it.
 
 A caller whose connection broke submits the same job again, to any entry. The runs that
 the first entry ordered may still be alive; if the second entry started the job at once,
@@ -28,7 +28,7 @@
 
 
 class Ownership(NamedTuple):
-    """A peer owns a job.
+    """The ownership of a job by a peer.
 
     :param incarnation: of the peer.
     :param at: when the peer became the owner, in seconds on this entry's clock.
@@ -140,7 +140,7 @@
         return owned
 
     def may_be_incomplete(self, now: float, queries_agents: bool) -> bool:
-        """Tell whether a lost peer may own jobs that it couldn't announce here.
+        """Return whether a lost peer may own jobs that it couldn't announce here.
 
         :param queries_agents: whether agents can tell what a lost peer runs. Their
             answers are more reliable than other entries' confirmation that it is lost,
--- a/src/godwitbank/_internal/core/runs/poll_limits.py
+++ b/src/godwitbank/_internal/core/runs/poll_limits.py
@@ -24,7 +24,7 @@
 """Upper limit in seconds for a read of all rows, even if changes may take longer."""
 
 STORE_READS_SHARE = 0.2
-"""Fraction of the reads that the store allows to all processes that polls may use."""
+"""Fraction of the store's read limit, common to all processes, that polls may use."""
 
 
 class PollLimits(NamedTuple):
@@ -54,7 +54,7 @@
         )
 
     def choose_wait(self, entries: int) -> float:
-        """Return the seconds to wait in a poll that keep all entries below their limit.
+        """Return the seconds to wait in a poll, so that the poll limit is kept.
 
         :param entries: number of entries, including this one.
         """
--- a/src/godwitbank/_internal/core/runs/progress.py
+++ b/src/godwitbank/_internal/core/runs/progress.py
@@ -14,7 +14,8 @@
 """
 
 STALL_EXPECTED_PERCENT = 10.0
-"""Percent of the predicted run time that is added to ``STALL_SECONDS``."""
+"""Percent of the predicted run time that is added to ``STALL_SECONDS``: ten times as
+long as one percent of progress, the smallest reported step, is expected to take."""
 
 RATE_WINDOW_SECONDS = 0.25
 """Seconds over which a progress rate is measured: two renewals. Over shorter windows
@@ -32,8 +33,8 @@
 late. If it was kept for long, an endpoint would stay idle after it has recovered."""
 
 SLOW_FACTOR = 2.0
-"""Slowness from which runs are moved. Healthy endpoints of different
-kinds differ by less."""
+"""Slowness from which runs are moved. Healthy endpoints of different kinds differ by
+less."""
 
 MOVE_COST_SECONDS = 0.2
 """Estimated cost of a move in seconds: stopping the run, reaching the other agent, and
--- a/src/godwitbank/_internal/core/runs/reachability.py
+++ b/src/godwitbank/_internal/core/runs/reachability.py
@@ -109,7 +109,7 @@
         return True
 
     def is_indirectly_reachable(self, owner: str) -> bool:
-        """Tell whether another entry reaches one that is unreachable from here."""
+        """Return whether another entry reaches one that is unreachable from here."""
         return owner in self._relays
 
     def list_relay_streams(self) -> dict[str, int]:
@@ -153,23 +153,23 @@
         requester would wait until the stream to the peer has timed out here, too.
         """
         self._probe_requests.add(message.address, link.stream, self._now)
-        heard_at = [
+        last_received = [
             each.last_received_at
             for each in self._links.list_peers()
             if each.hello.address == message.address
         ]
-        if not heard_at or self._now - heard_at[0] > BUSY_TIMEOUT_SECONDS:
-            age = self._measure_age(message.address, heard_at)
+        if not last_received or self._now - last_received[0] > BUSY_TIMEOUT_SECONDS:
+            age = self._measure_age(message.address, last_received)
             self._send(link.stream, Located(message.address, False, "", age))
 
-    def _measure_age(self, address: str, heard_at: list[float]) -> float:
-        if heard_at:
-            return self._now - heard_at[0]
+    def _measure_age(self, address: str, last_received: list[float]) -> float:
+        if last_received:
+            return self._now - last_received[0]
         last_alive_at = self._last_alive_at.get(address)
         return -1.0 if last_alive_at is None else self._now - last_alive_at
 
     def handle_peer_alive(self, link: Link) -> None:
-        """React to a frame from a peer: tell those that probe it, and its jobs."""
+        """React to a frame from a peer: announce it and its jobs to its probers."""
         owner = link.hello.incarnation
         for stream in self._probe_requests.handle_alive(link.hello.address):
             self._send(stream, Located(link.hello.address, True, owner, 0.0))
--- a/src/godwitbank/_internal/core/runs/readiness.py
+++ b/src/godwitbank/_internal/core/runs/readiness.py
@@ -78,7 +78,10 @@
 
     @property
     def is_recently_active(self) -> bool:
-        """Whether others may just have lost entries that were never connected here."""
+        """Whether other entries may have lost peers before this entry could know them.
+
+        That is so for some time after this process started or resumed after a pause.
+        """
         return self._now - self.active_since < OWNERSHIP_RETENTION_SECONDS
 
     def record_announcement(self, incarnation: str) -> None:
--- a/src/godwitbank/_internal/core/runs/remote_callers.py
+++ b/src/godwitbank/_internal/core/runs/remote_callers.py
@@ -48,7 +48,7 @@
         return caller
 
     def is_remote(self, caller: int) -> bool:
-        """Tell whether a caller is connected to another entry."""
+        """Return whether a caller is connected to another entry."""
         return caller in self._origins
 
     def withdraw(self, stream: int, job: str) -> list[CallerDisconnected]:
@@ -58,7 +58,7 @@
         return self._forget(gone)
 
     def drop_stream(self, stream: int) -> list[CallerDisconnected]:
-        """Remove the callers that a closed stream makes impossible to answer."""
+        """Remove the callers that were to be answered on a closed stream."""
         gone = [
             caller for caller, each in self._origins.items() if each.stream == stream
         ]
--- a/src/godwitbank/_internal/core/runs/status_updates.py
+++ b/src/godwitbank/_internal/core/runs/status_updates.py
@@ -27,9 +27,9 @@
 no more than the timer wake-up that would send them later."""
 
 MAX_IMMEDIATE_UPDATES = 2
-"""Number of entries that are told immediately when a full endpoint has free capacity
-again. If more were told, all of them would order runs into the same capacity. The next
-entries are told with the next change, the least recently updated first."""
+"""Number of entries that are updated immediately when a full endpoint has free capacity
+again. If more were updated, all of them would order runs into the same capacity. The
+others are updated with the next change, the least recently updated first."""
 
 
 class LastUpdate:
@@ -99,7 +99,8 @@
     ) -> list[Message]:
         """List the messages that an entry must be sent now.
 
-        :param immediate: whether the entry is being told of the end of one of its runs.
+        :param immediate: whether the outcome of one of the entry's runs is sent to it
+            now, so that it must be updated with it.
         """
         last = self._last_updates.setdefault(link.stream, LastUpdate())
         due: list[Message] = []
--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -473,8 +473,8 @@
     Break(
         "jobs handed on outlive their stream",
         f"{LEASED}/intake.py",
-        "        for caller_gone in self._adoption.drop_stream(stream):\n"
-        "            self.handle_caller_loss(caller_gone)\n",
+        "        for disconnected in self._remote_callers.drop_stream(stream):\n"
+        "            self.handle_caller_loss(disconnected)\n",
         "",
         f"{RUNS}/test_forwarding.py::test_runs_end_when_the_forwarding_entry_is_lost",
     ),
@@ -528,7 +528,7 @@
     Break(
         "new streams are not told what is evacuated",
         f"{LEASED}/entry.py",
-        "        # Before the configuration, after which the other entry places runs.\n"
+        "        # Sent first: a configuration makes the other entry place runs.\n"
         "        self._send_evacuation(event.stream)\n",
         "",
         f"{RUNS}/test_evacuation.py::"
