--- a/src/godwitbank/_internal/core/entry.py
+++ b/src/godwitbank/_internal/core/entry.py
@@ -139,8 +139,8 @@
         and have waited long enough for a newer revision that any of them holds
         to arrive. Serving with an old document would revert an accepted change.
         """
-        informed = self._table_read or self._has_contact
-        return informed and self._now - self._booted_at >= BOOT_LISTEN_SECONDS
+        has_source = self._table_read or self._has_contact
+        return has_source and self._now - self._booted_at >= BOOT_LISTEN_SECONDS
 
     # Streams
 
@@ -418,7 +418,7 @@
         if self._now < self._next_heartbeat:
             return
         self._next_heartbeat = self._now + self.timing.heartbeat
-        self._close_silent_streams()
+        self._close_timed_out_streams()
         self._expire_unreachable()
         self.membership.dial_agents()
         self.membership.dial_peers()
@@ -426,7 +426,7 @@
         self._send_heartbeats()
         self.dispatcher.dispatch_all()
 
-    def _close_silent_streams(self) -> None:
+    def _close_timed_out_streams(self) -> None:
         views: list[AgentView | PeerView] = list(self.membership.agent_streams.values())
         views += self.membership.peer_streams.values()
         for view in views:
--- a/src/godwitbank/_internal/core/grants.py
+++ b/src/godwitbank/_internal/core/grants.py
@@ -23,8 +23,8 @@
 class EntryShare:
     """State of one entry's share of the slots.
 
-    :ivar announced: slots that the entry may use as far as it was told, less the
-        starts received since.
+    :ivar announced: slots last announced to the entry, less the starts received
+        since.
     :ivar seen: starts received on the stream.
     :ivar demand: waiting work that the entry announced, less the starts received
         since.
--- a/src/godwitbank/_internal/core/pool.py
+++ b/src/godwitbank/_internal/core/pool.py
@@ -73,9 +73,9 @@
         return count_changed or rank > self.rank + MIN_RANK_CHANGE_SECONDS
 
     def is_due(self, waiting: int, rank: float, now: float) -> bool:
-        """Return whether the announcement to each agent has to be checked.
+        """Return whether ``is_stale`` has to be called for each agent.
 
-        A cheaper check than ``is_stale`` of every agent.
+        Called on the newest announcement to any agent; saves most of the other calls.
         """
         if (
             bool(waiting) != bool(self.waiting)
--- a/src/godwitbank/_internal/core/quota.py
+++ b/src/godwitbank/_internal/core/quota.py
@@ -27,6 +27,7 @@
     :ivar demand: estimated starts per second that this entry's callers ask for.
     """
 
+    # Seconds after which the demand that another entry reported is ignored.
     PEER_DEMAND_LAPSE_SECONDS = 5.0
 
     def __init__(self, rate: float, burst: float, now: float) -> None:
@@ -78,5 +79,6 @@
 
     def _record_demand(self, starts: int, now: float) -> None:
         decay = 0.5 ** ((now - self._demand_at) / DEMAND_HALF_LIFE_SECONDS)
+        # 0.6931 is ln 2: divided by it, the half-life becomes the time constant.
         self.demand = self.demand * decay + starts / (DEMAND_HALF_LIFE_SECONDS / 0.6931)
         self._demand_at = now
--- a/src/godwitbank/_internal/core/runs/agent.py
+++ b/src/godwitbank/_internal/core/runs/agent.py
@@ -346,7 +346,7 @@
 
     def _handle_tick(self, event: Tick) -> None:
         del event
-        self._close_silent_streams()
+        self._close_timed_out_streams()
         self._dial()
         self._send_heartbeats()
         self._leave_surplus_entry()
@@ -359,11 +359,11 @@
             self._log_decision("endpoint_silent", instance=self.endpoint.instance)
             self.runner.return_parked()
 
-    def _close_silent_streams(self) -> None:
-        silent_links = self.links.list_timed_out(self._now)
-        for link in silent_links:
+    def _close_timed_out_streams(self) -> None:
+        timed_out = self.links.list_timed_out(self._now)
+        for link in timed_out:
             self._drop_link(link.stream, "silence")
-        if silent_links:
+        if timed_out:
             self._probe_idle_streams()
 
     def _probe_idle_streams(self) -> None:
@@ -427,13 +427,13 @@
         if owners == self._owners and not self._links_changed:
             return
         self._owners = owners
-        any_silent = False
+        missed_heartbeat = False
         for link in self.links:
             if link.hello.incarnation not in owners:
-                any_silent = link.mark_idle(self._now) or any_silent
+                missed_heartbeat = link.mark_idle(self._now) or missed_heartbeat
             elif link.busy_since == math.inf:
                 link.busy_since = self._now
-        if any_silent:
+        if missed_heartbeat:
             self._probe_idle_streams()
 
     def _send_status_updates(self) -> None:
--- a/src/godwitbank/_internal/core/runs/entry.py
+++ b/src/godwitbank/_internal/core/runs/entry.py
@@ -515,7 +515,7 @@
 
     def _handle_tick(self, event: Tick) -> None:
         del event
-        self._close_timed_out()
+        self._close_timed_out_streams()
         self._dial()
         self._announce_entries()
         for link in self.links.list_due_heartbeats(self._now):
@@ -530,7 +530,7 @@
             self.handover.start_delayed()
             self.dispatcher.check_deadlines()
 
-    def _close_timed_out(self) -> None:
+    def _close_timed_out_streams(self) -> None:
         timed_out = self.links.list_timed_out(self._now)
         for link in timed_out:
             self._drop_link(link.stream, "silence")
--- a/src/godwitbank/_internal/core/runs/links.py
+++ b/src/godwitbank/_internal/core/runs/links.py
@@ -167,14 +167,14 @@
     def mark_idle(self, now: float) -> bool:
         """Mark the stream as idle, as no run is in flight on it any more.
 
-        :return: whether the other end was already overdue.
+        :return: whether a heartbeat of the other end had already been missed.
         """
-        was_unresponsive = (
+        missed_heartbeat = (
             self.busy_since < math.inf
             and now - self.last_received_at > MISSED_HEARTBEAT_SECONDS
         )
         self.busy_since = math.inf
-        return was_unresponsive
+        return missed_heartbeat
 
     @property
     def is_probe_pending(self) -> bool:
--- a/src/godwitbank/_internal/core/task_history.py
+++ b/src/godwitbank/_internal/core/task_history.py
@@ -3,8 +3,8 @@
 A task may start only if there is no record of an earlier start of it. If the record
 of a started task has been dropped and an entry queries the task, the answer "never
 started" would be false and the task would run twice. So dropping a record raises a
-watermark to its start bound, and a query about a start with a bound no later than
-the watermark is answered with "unknown".
+watermark to its start bound (``start_by``), and a query about a start with a bound no
+later than the watermark is answered with "unknown".
 """
 
 from collections import OrderedDict
--- a/src/godwitbank/_internal/core/work.py
+++ b/src/godwitbank/_internal/core/work.py
@@ -8,7 +8,17 @@
 
 
 class TaskState(Enum):
-    """State of a task at its entry."""
+    """State of a task at its entry.
+
+    - ``NEW``: neither queued nor claimed yet.
+    - ``CLAIMING``: the claim of its request id is being written.
+    - ``RECALLING``: its request id was claimed before; agents are queried for the
+      result.
+    - ``WAITING``: queued for a free slot.
+    - ``SENT``: a start was sent to an agent.
+    - ``ANSWERED``: its answer has arrived.
+    - ``DROPPED``: its job failed before the task was answered.
+    """
 
     NEW = auto()
     CLAIMING = auto()
@@ -104,6 +114,7 @@
 
     __slots__ = ("mean", "_samples")
 
+    # Number of observed runs that the declared run time counts for.
     DECLARED_SAMPLES = 10
     MAX_SAMPLES = 1000
 
