--- a/src/godwitbank/_internal/core/runs/indirect_probes.py
+++ b/src/godwitbank/_internal/core/runs/indirect_probes.py
@@ -1,10 +1,10 @@
 """Indirect probes: other entries tell whether they reach one that this entry has lost.
 
 Where agents keep streams to some of the entries only, no entry reaches all agents, and
-the agents that it reaches can't tell whether a job still runs by order of another
-entry. A lost entry may be dead or cut off from all other processes; its agents stop its
-runs then. Or it is cut off from this entry alone, its runs go on, and a task would run
-twice if its caller came here. Two other entries are asked which of the two it is.
+the agents that it reaches can't tell whether a job still has runs that another entry
+ordered. A lost entry may be dead or cut off from all other processes; its agents stop
+its runs then. Or it is cut off from this entry alone, its runs go on, and a task would
+run twice if its caller came here. Two other entries are asked which of the two it is.
 """
 
 from random import Random
--- a/src/godwitbank/_internal/core/runs/ownership_announcements.py
+++ b/src/godwitbank/_internal/core/runs/ownership_announcements.py
@@ -28,7 +28,10 @@
         self._emit: Callable[[RunAction], None] = lambda action: None
 
     def begin_event(self, emit: Callable[[RunAction], None]) -> None:
-        """Set where actions go for one event."""
+        """Prepare for one event.
+
+        :param emit: receives the actions to carry out.
+        """
         self._emit = emit
 
     def announce(self, name: str, now: float) -> None:
--- a/src/godwitbank/_internal/core/runs/reachability.py
+++ b/src/godwitbank/_internal/core/runs/reachability.py
@@ -33,7 +33,11 @@
         self._emit: Callable[[RunAction], None] = lambda action: None
 
     def begin_event(self, now: float, emit: Callable[[RunAction], None]) -> None:
-        """Set the time, and where actions go, for one event."""
+        """Prepare for one event.
+
+        :param now: time of the event, in seconds.
+        :param emit: receives the actions to carry out.
+        """
         self._now = now
         self._emit = emit
 
--- a/src/godwitbank/_internal/core/runs/readiness.py
+++ b/src/godwitbank/_internal/core/runs/readiness.py
@@ -39,7 +39,7 @@
         self.active_since = now
 
     def begin_event(self, now: float) -> None:
-        """Set the time for one event."""
+        """Prepare for one event."""
         self._now = now
 
     @property
--- a/src/godwitbank/_internal/core/runs/runner.py
+++ b/src/godwitbank/_internal/core/runs/runner.py
@@ -49,7 +49,7 @@
 
 MAX_ORDER_AGE_SECONDS = 0.7
 """Seconds after which a start order is rejected as too old. The entry that sent it
-treats the run as lost once the agent has been silent for this long, but an agent that
+treats the run as lost after this long without a frame from the agent, but an agent that
 was suspended or cut off from the network may still receive the order after that."""
 
 STOP_RETRY_SECONDS = 0.3
@@ -230,8 +230,8 @@
             self._order_start(run)
 
     def _may_grant_leases(self) -> bool:
-        # All runs here share one lease. While an entry that owns one of them is
-        # silent, the lease is about to end, and a new run would end with it.
+        # All runs here share one lease. While an entry that owns one of them sends no
+        # heartbeats, the lease is about to end, and a new run would end with it.
         return self.find_lease_end() - self._now >= MIN_LEASE_SECONDS
 
     def _order_start(self, run: HeldRun) -> None:
