--- a/src/godwitbank/_internal/core/entry.py
+++ b/src/godwitbank/_internal/core/entry.py
@@ -139,8 +139,8 @@
         and have waited long enough for a newer revision that any of them holds
         to arrive. Serving with an old document would revert an accepted change.
         """
-        informed = self._table_read or self._has_contact
-        return informed and self._now - self._booted_at >= BOOT_LISTEN_SECONDS
+        has_source = self._table_read or self._has_contact
+        return has_source and self._now - self._booted_at >= BOOT_LISTEN_SECONDS
 
     # Streams
 
@@ -237,7 +237,7 @@
         message = event.message
         view = self.membership.agent_streams.get(event.stream)
         if view is not None:
-            view.heard_at = self._now
+            view.last_received_at = self._now
             handler = self._agent_message_handlers.get(type(message))
             if handler is None:
                 self._reject_message(event.stream)
@@ -246,7 +246,7 @@
             return
         peer = self.membership.peer_streams.get(event.stream)
         if peer is not None:
-            peer.heard_at = self._now
+            peer.last_received_at = self._now
             handler = self._peer_message_handlers.get(type(message))
             if handler is None:
                 self._reject_message(event.stream)
@@ -418,7 +418,7 @@
         if self._now < self._next_heartbeat:
             return
         self._next_heartbeat = self._now + self.timing.heartbeat
-        self._close_silent_streams()
+        self._close_timed_out_streams()
         self._expire_unreachable()
         self.membership.dial_agents()
         self.membership.dial_peers()
@@ -426,11 +426,11 @@
         self._send_heartbeats()
         self.dispatcher.dispatch_all()
 
-    def _close_silent_streams(self) -> None:
+    def _close_timed_out_streams(self) -> None:
         views: list[AgentView | PeerView] = list(self.membership.agent_streams.values())
         views += self.membership.peer_streams.values()
         for view in views:
-            if self._now - view.heard_at > self.timing.silence:
+            if self._now - view.last_received_at > self.timing.silence:
                 stream = view.stream or 0
                 self.counts.add("streams_closed", "silence")
                 self._actions.append(CloseStream(stream, "silence"))
@@ -438,7 +438,7 @@
 
     def _expire_unreachable(self) -> None:
         for view in list(self.membership.agents.values()):
-            lost_for = self._now - (view.lost_at or view.heard_at)
+            lost_for = self._now - (view.lost_at or view.last_received_at)
             if view.stream is not None:
                 continue
             if lost_for > RECONNECT_TIMEOUT_SECONDS and view.outstanding:
--- a/src/godwitbank/_internal/core/runs/links.py
+++ b/src/godwitbank/_internal/core/runs/links.py
@@ -93,8 +93,8 @@
 PROBE_TIMEOUT_SECONDS = 0.4
 """Seconds without a frame after a probe, after which a stream counts as dead.
 
-The other end answers a probe at once. The stream is idle, so that little is lost if
-this timeout was too short.
+The other end answers a probe at once. The stream is idle, so little is lost if it is
+closed too early.
 """
 
 CLOCK_WINDOW_SECONDS = 10.0
@@ -167,14 +167,14 @@
     def mark_idle(self, now: float) -> bool:
         """Mark the stream as idle, as no run is in flight on it any more.
 
-        :return: whether the other end was already overdue.
+        :return: whether a heartbeat of the other end had already been missed.
         """
-        was_unresponsive = (
+        missed_heartbeat = (
             self.busy_since < math.inf
             and now - self.last_received_at > MISSED_HEARTBEAT_SECONDS
         )
         self.busy_since = math.inf
-        return was_unresponsive
+        return missed_heartbeat
 
     @property
     def is_probe_pending(self) -> bool:
--- a/tests/broken_rules.py
+++ b/tests/broken_rules.py
@@ -67,7 +67,7 @@
     Break(
         "timed-out streams stay open",
         f"{CORE}/entry.py",
-        "if self._now - view.heard_at > self.timing.silence:",
+        "if self._now - view.last_received_at > self.timing.silence:",
         "if False:",
         f"{FAILURES}/test_starts.py::"
         "test_starts_on_a_frozen_stream_are_resolved_on_a_new_one",
@@ -320,8 +320,8 @@
     Break(
         "outdated release revokes a newer grant",
         f"{LEASED}/homes.py",
-        "        exact = grant.number == number or not grant.number",
-        "        exact = True",
+        "exact = grant.request_number == request_number or not grant.request_number",
+        "exact = True",
         f"{RUNS}/test_homes.py",
     ),
     Break(
@@ -490,8 +490,8 @@
     Break(
         "forwarded jobs outlive their stream",
         f"{LEASED}/intake.py",
-        "        for caller_gone in self._adoption.drop_stream(stream):\n"
-        "            self.handle_caller_loss(caller_gone)\n",
+        "        for disconnected in self._remote_callers.drop_stream(stream):\n"
+        "            self.handle_caller_loss(disconnected)\n",
         "",
         f"{RUNS}/test_forwarding.py::test_runs_end_when_the_forwarding_entry_is_lost",
     ),
@@ -545,7 +545,7 @@
     Break(
         "evacuation is not sent on new streams",
         f"{LEASED}/entry.py",
-        "        # Before the configuration, after which the other entry places runs.\n"
+        "        # Sent first: a configuration makes the other entry place runs.\n"
         "        self._send_evacuation(event.stream)\n",
         "",
         f"{RUNS}/test_evacuation.py::"
