--- a/src/godwitbank/_internal/core/runs/forwarding.py
+++ b/src/godwitbank/_internal/core/runs/forwarding.py
@@ -150,7 +150,7 @@
         """Whether another entry serves a job for this one."""
         return bool(self._forwarded)
 
-    def has(self, job: str) -> bool:
+    def has_job(self, job: str) -> bool:
         """Return whether another entry serves a job for this one."""
         return job in self._forwarded
 
--- a/src/godwitbank/_internal/core/runs/intake.py
+++ b/src/godwitbank/_internal/core/runs/intake.py
@@ -64,7 +64,7 @@
 
     def has_job(self, job: str) -> bool:
         """Return whether a job is in flight here, or at another entry for this one."""
-        return job in self._dispatcher.jobs or self._forwarding.has(job)
+        return job in self._dispatcher.jobs or self._forwarding.has_job(job)
 
     def submit(self, event: JobSubmitted, acquired: bool = False) -> None:
         """Accept a job, forward it to another entry, or refuse it.
--- a/tests/core/runs/test_exploration.py
+++ b/tests/core/runs/test_exploration.py
@@ -1,6 +1,6 @@
 """Random faults, alone and combined, that must never violate the invariants.
 
-``RunsWorld`` checks after every step that no task runs twice at the same time
+``RunCluster`` checks after every step that no task runs twice at the same time
 and that no endpoint exceeds its capacity. At the end, when all faults are over,
 jobs must be served again. Each seed that ever failed is kept in one of the
 ``REGRESSION_SEEDS`` tuples.
@@ -120,7 +120,7 @@
 
 
 class Explorer:
-    """Applies random faults and submissions to a ``RunsWorld``.
+    """Applies random faults and submissions to a ``RunCluster``.
 
     :param impatient: whether callers submit again at any time, instead of
         ``RESUBMIT_SECONDS`` after their connection broke.
--- a/tests/core/runs/test_failures.py
+++ b/tests/core/runs/test_failures.py
@@ -1,6 +1,6 @@
 """Tests that leased runs survive failures of processes, links and endpoints.
 
-``RunsWorld`` checks after every step that no task runs twice at the same time and that
+``RunCluster`` checks after every step that no task runs twice at the same time and that
 no endpoint exceeds its capacity. The tests cause a failure and check what callers get.
 """
 
--- a/tests/core/runs/test_forwarding.py
+++ b/tests/core/runs/test_forwarding.py
@@ -127,7 +127,7 @@
 
 
 def test_job_forwarded_and_submitted_elsewhere_runs_once_at_a_time() -> None:
-    # ``RunsWorld`` checks after each step that no task runs twice at once.
+    # ``RunCluster`` checks after each step that no task runs twice at once.
     world = make_lagging_world(entries=3)
     job = make_job("j1", width=4, seconds=3.0)
     world.submit("entry-0", job)
--- a/tests/core/runs/test_takeovers.py
+++ b/tests/core/runs/test_takeovers.py
@@ -1,6 +1,6 @@
 """A job that is submitted at another entry while its first runs are unreachable.
 
-``RunsWorld`` checks after every step that no task runs twice at once.
+``RunCluster`` checks after every step that no task runs twice at once.
 """
 
 import pytest
--- a/tests/core/runs/test_two_entries.py
+++ b/tests/core/runs/test_two_entries.py
@@ -1,6 +1,6 @@
 """A job submitted at two entries at once: it runs once, and both callers are answered.
 
-``RunsWorld`` checks after every step that no task runs twice at once.
+``RunCluster`` checks after every step that no task runs twice at once.
 """
 
 import pytest
