--- a/src/godwitbank/_internal/commands/submit.py
+++ b/src/godwitbank/_internal/commands/submit.py
@@ -9,9 +9,9 @@
 
 from godwitbank._internal.cli.statuses import Status
 from godwitbank._internal.commands.client import (
-    call,
-    end_progress,
-    require_one,
+    call_entry,
+    clear_progress,
+    require_single_argument,
     show_progress,
 )
 from godwitbank._internal.exceptions import UsageError
@@ -23,17 +23,17 @@
     summary = "submit a job file or a single request"
 
     def run(self, values: flags.FlagValues, arguments: list[str]) -> Status:
-        """Submit, print the whole answer or the problem."""
+        """Submit the work, and print the complete answer or the problem."""
         if not values.service:
-            raise UsageError("--service is needed", remedy="see --help")
+            raise UsageError("--service is required", remedy="see --help")
         show_progress("submitted, waiting for the whole answer")
-        kind = values["class"].value
+        work_class = values["class"].value
         answer = (
-            self._submit_request(values, kind, arguments)
-            if kind
+            self._submit_request(values, work_class, arguments)
+            if work_class
             else self._submit_job(values, arguments)
         )
-        end_progress()
+        clear_progress()
         if answer.is_success:
             print(answer.text)
             return Status.SUCCESS
@@ -44,7 +44,7 @@
     def _submit_job(
         self, values: flags.FlagValues, arguments: list[str]
     ) -> httpx.Response:
-        path = require_one(arguments, "job file (or give --class)")
+        path = require_single_argument(arguments, "job file (or give --class)")
         try:
             body = sys.stdin.read() if path == "-" else Path(path).read_text()
         except OSError as error:
@@ -53,18 +53,24 @@
                 context=path,
                 remedy="give the path of a JSON file, or - for standard input",
             ) from None
-        return call(values, "POST", f"/v1/services/{values.service}/jobs", None, body)
+        return call_entry(
+            values, "POST", f"/v1/services/{values.service}/jobs", None, body
+        )
 
     def _submit_request(
-        self, values: flags.FlagValues, kind: str, arguments: list[str]
+        self, values: flags.FlagValues, work_class: str, arguments: list[str]
     ) -> httpx.Response:
-        text = require_one(arguments, "JSON payload")
+        text = require_single_argument(arguments, "JSON payload")
         try:
             payload = json.loads(text)
         except ValueError as error:
             raise UsageError(
                 f"the payload is not JSON: {error}", remedy="quote it for the shell"
             ) from None
-        body = {"class": kind, "payload": payload, "request_id": values.request_id}
+        body = {
+            "class": work_class,
+            "payload": payload,
+            "request_id": values.request_id,
+        }
         path = f"/v1/services/{values.service}/requests"
-        return call(values, "POST", path, None, json.dumps(body))
+        return call_entry(values, "POST", path, None, json.dumps(body))
--- a/src/godwitbank/_internal/core/entry.py
+++ b/src/godwitbank/_internal/core/entry.py
@@ -139,8 +139,8 @@
         and have waited long enough for a newer revision that any of them holds
         to arrive. Serving with an old document would revert an accepted change.
         """
-        informed = self._table_read or self._has_contact
-        return informed and self._now - self._booted_at >= BOOT_LISTEN_SECONDS
+        has_source = self._table_read or self._has_contact
+        return has_source and self._now - self._booted_at >= BOOT_LISTEN_SECONDS
 
     # Streams
 
@@ -237,7 +237,7 @@
         message = event.message
         view = self.membership.agent_streams.get(event.stream)
         if view is not None:
-            view.heard_at = self._now
+            view.last_received_at = self._now
             handler = self._agent_message_handlers.get(type(message))
             if handler is None:
                 self._reject_message(event.stream)
@@ -246,7 +246,7 @@
             return
         peer = self.membership.peer_streams.get(event.stream)
         if peer is not None:
-            peer.heard_at = self._now
+            peer.last_received_at = self._now
             handler = self._peer_message_handlers.get(type(message))
             if handler is None:
                 self._reject_message(event.stream)
@@ -305,14 +305,14 @@
         self.dispatcher.dispatch(service)
 
     def _handle_load(self, view: AgentView, load: Load) -> None:
-        view.update_free_slots(load.free, load.seen)
+        view.update_free_slots(load.free_slots, load.starts_received)
         service = self.dispatcher.services.get(view.service)
         if service is not None:
             self.dispatcher.dispatch(service)
 
     def _handle_agent_heartbeat(self, view: AgentView, heartbeat: Heartbeat) -> None:
         view.set_clock(heartbeat.clock, self._now)
-        view.update_free_slots(heartbeat.free, heartbeat.seen)
+        view.update_free_slots(heartbeat.free_slots, heartbeat.starts_received)
         view.reported_failure_rate = heartbeat.failure_rate
         self._has_contact = True
         if view.stream is not None:
@@ -337,7 +337,7 @@
     def _update_peer_load(self, process: str, load: PeerLoad) -> None:
         service = self.dispatcher.services.get(load.service)
         if service is not None:
-            backlog = PeerBacklog(load.backlog, self._now)
+            backlog = PeerBacklog(load.backlog_seconds, self._now)
             service.peer_backlogs[process] = backlog
             service.quota.update_peer_demand(process, load.demand, self._now)
 
@@ -418,7 +418,7 @@
         if self._now < self._next_heartbeat:
             return
         self._next_heartbeat = self._now + self.timing.heartbeat
-        self._close_silent_streams()
+        self._close_timed_out_streams()
         self._expire_unreachable()
         self.membership.dial_agents()
         self.membership.dial_peers()
@@ -426,11 +426,11 @@
         self._send_heartbeats()
         self.dispatcher.dispatch_all()
 
-    def _close_silent_streams(self) -> None:
+    def _close_timed_out_streams(self) -> None:
         views: list[AgentView | PeerView] = list(self.membership.agent_streams.values())
         views += self.membership.peer_streams.values()
         for view in views:
-            if self._now - view.heard_at > self.timing.silence:
+            if self._now - view.last_received_at > self.timing.silence:
                 stream = view.stream or 0
                 self.counts.add("streams_closed", "silence")
                 self._actions.append(CloseStream(stream, "silence"))
@@ -438,7 +438,7 @@
 
     def _expire_unreachable(self) -> None:
         for view in list(self.membership.agents.values()):
-            lost_for = self._now - (view.lost_at or view.heard_at)
+            lost_for = self._now - (view.lost_at or view.last_received_at)
             if view.stream is not None:
                 continue
             if lost_for > RECONNECT_TIMEOUT_SECONDS and view.outstanding:
--- a/src/godwitbank/_internal/core/runs/entry.py
+++ b/src/godwitbank/_internal/core/runs/entry.py
@@ -329,7 +329,7 @@
         self._send(event.stream, Peers(self.links.addresses.list_known(), []))
         self.handover.handle_peer_connected(link)
         self._update_entry_count()
-        # Before the configuration, after which the other entry places runs.
+        # Sent first: a configuration makes the other entry place runs.
         self._send_evacuation(event.stream)
         self._send_configuration(event.stream)
 
@@ -362,13 +362,13 @@
         if view is not None:
             self.dispatcher.handle_agent_loss(view)
             return
-        self.handover.reachability.drop_stream(event.stream)
+        self.handover.reachability.handle_stream_loss(event.stream)
         if self.links.find(link.hello.incarnation) is None:
             self.handover.handle_peer_loss(link)
             self._update_entry_count()
             self.dispatcher.admission.forget_peer(link.hello.incarnation)
         self.intake.handle_stream_loss(event.stream)
-        self.handover.drop_stream(event.stream)
+        self.handover.handle_stream_loss(event.stream)
 
     def _resume_after_pause(self) -> None:
         """Close all streams and end all jobs after a pause of this process.
@@ -414,8 +414,8 @@
         if view.news is not None and view.news.instance != news.instance:
             view.health.clear()
         self.dispatcher.fleet.update_endpoint(view, news)
-        self._log_decision("endpoint_news", agent=view.address, open=news.open)
-        if news.settled:
+        self._log_decision("endpoint_news", agent=view.address, open=news.accepts_runs)
+        if news.reconciled:
             self.dispatcher.release_orphaned_runs(view)
         self.dispatcher.dispatch(view.service)
 
@@ -515,7 +515,7 @@
 
     def _handle_tick(self, event: Tick) -> None:
         del event
-        self._close_timed_out()
+        self._close_timed_out_streams()
         self._dial()
         self._announce_entries()
         for link in self.links.list_due_heartbeats(self._now):
@@ -530,7 +530,7 @@
             self.handover.start_delayed()
             self.dispatcher.check_deadlines()
 
-    def _close_timed_out(self) -> None:
+    def _close_timed_out_streams(self) -> None:
         timed_out = self.links.list_timed_out(self._now)
         for link in timed_out:
             self._drop_link(link.stream, "silence")
--- a/src/godwitbank/_internal/core/runs/fleet.py
+++ b/src/godwitbank/_internal/core/runs/fleet.py
@@ -83,7 +83,7 @@
     @property
     def accepts_runs(self) -> bool:
         """Whether the agent accepts new runs."""
-        return self.news is not None and self.news.open and not self.evacuated
+        return self.news is not None and self.news.accepts_runs and not self.evacuated
 
     @property
     def cold(self) -> bool:
@@ -118,7 +118,7 @@
         """Record the reported free resources and which starts they include already."""
         self._reported_free = Resources(room.cpu, room.memory, room.gpu)
         self.parked_by_others = max(0, room.parked - self.own_parked)
-        while len(self._unacknowledged) > self._sent - room.seen:
+        while len(self._unacknowledged) > self._sent - room.starts_received:
             self._unacknowledged_sum -= self._unacknowledged.popleft()
         self.free = self._reported_free - self._unacknowledged_sum
 
@@ -263,13 +263,13 @@
     def awaits_endpoint(self, now: float) -> bool:
         """Return whether a new agent hasn't learnt of its endpoint yet.
 
-        An agent that hasn't learnt of one within the arrival time is taken to have
-        none, so that nothing waits for it.
+        An agent that hasn't learnt of one within its startup time is taken to have
+        none, so that no job waits for it.
         """
         return any(
             now - view.opened_at < self._agent_startup_seconds
             and not view.evacuated
-            and (view.news is None or not view.news.settled)
+            and (view.news is None or not view.news.reconciled)
             for view in self.views.values()
         )
 
--- a/src/godwitbank/_internal/core/runs/indirect_probes.py
+++ b/src/godwitbank/_internal/core/runs/indirect_probes.py
@@ -1,10 +1,10 @@
 """Indirect probes: other entries tell whether they reach one that this entry has lost.
 
 Where agents keep streams to some of the entries only, no entry reaches all agents, and
-the agents that it reaches can't tell whether a job still runs by order of another
-entry. A lost entry may be dead or cut off from all other processes; its agents stop its
-runs then. Or it is cut off from this entry alone, its runs go on, and a task would run
-twice if its caller came here. Two other entries are asked which of the two it is.
+the agents that it reaches can't tell whether a job still has runs that another entry
+ordered. A lost entry may be dead or cut off from all other processes; its agents stop
+its runs then. Or it is cut off from this entry alone, its runs go on, and a task would
+run twice if its caller came here. Two other entries are asked which of the two it is.
 """
 
 from random import Random
@@ -73,11 +73,11 @@
         return True
 
     def is_reachable_through(self, stream: int, address: str) -> bool:
-        """Tell whether the entry on a stream has said that it reaches a lost one."""
+        """Return whether the entry on a stream has said that it reaches a lost one."""
         return self._relays.get(address) == stream
 
     def is_reachable(self, address: str) -> bool:
-        """Tell whether any other entry reaches a lost one."""
+        """Return whether any other entry reaches a lost one."""
         return address in self._relays
 
     def list_reachable(self) -> dict[str, int]:
@@ -111,11 +111,11 @@
 class Subscriber(NamedTuple):
     """An entry that probes another one.
 
-    :param asked_at: when it sent the probe, in seconds.
+    :param requested_at: when it sent the probe, in seconds.
     """
 
     stream: int
-    asked_at: float
+    requested_at: float
 
 
 class ProbeRequests:
@@ -132,8 +132,8 @@
     def handle_alive(self, address: str) -> list[int]:
         """Record that a frame from an entry arrived.
 
-        :return: streams on which to tell so. Their entries get the announcements of
-            that entry from now on.
+        :return: streams of the entries that probe it, on which to answer. These entries
+            get its announcements from now on.
         """
         probes = self._unanswered.pop(address, None)
         if probes is None:
@@ -147,13 +147,15 @@
         Recent probes stay open, so that they are answered again if another process
         starts at the same address.
 
-        :return: streams on which to tell so.
+        :return: streams of the entries that probe it, on which to report the loss.
         """
         recipients = self._unanswered.pop(address, []) + self._subscribers.pop(
             address, []
         )
         fresh = [
-            each for each in recipients if now - each.asked_at < SUBSCRIPTION_SECONDS
+            each
+            for each in recipients
+            if now - each.requested_at < SUBSCRIPTION_SECONDS
         ]
         if fresh:
             self._unanswered[address] = fresh
@@ -166,7 +168,7 @@
         self._subscribers[address] = [
             each
             for each in self._subscribers[address]
-            if now - each.asked_at < SUBSCRIPTION_SECONDS
+            if now - each.requested_at < SUBSCRIPTION_SECONDS
         ]
         return [each.stream for each in self._subscribers[address]]
 
--- a/src/godwitbank/_internal/http/agent.py
+++ b/src/godwitbank/_internal/http/agent.py
@@ -1,4 +1,4 @@
-"""The agent's local HTTP face: the endpoint beside it, and monitoring."""
+"""The agent's local HTTP interface for its endpoint and for monitoring."""
 
 from typing import Any, Protocol, TypedDict
 
@@ -7,22 +7,25 @@
 
 from godwitbank._internal.core.agent import AgentCore
 from godwitbank._internal.http.problems import (
-    METRICS_TYPE,
+    METRICS_MEDIA_TYPE,
     handle_http_error,
-    make_fault,
+    make_request_problem,
 )
 from godwitbank._internal.models.document import MAX_SLOTS
 from godwitbank._internal.operations.metrics import Exporter
 
-MAX_LEASE = 60.0
+MAX_LEASE_SECONDS = 60.0
 
 
 class Announcement(TypedDict):
-    """What an endpoint says of itself.
+    """Request body with which an endpoint registers or renews its registration.
 
+    :param service: name of the service that the endpoint runs tasks for.
     :param url: base URL; tasks are posted to ``/run`` below it.
-    :param lease_seconds: how long it counts as there without a renewal.
-    :param instance: its own name for this run of its process.
+    :param slots: number of tasks that it runs at a time.
+    :param connections: maximum number of connections that the agent opens to it.
+    :param lease_seconds: seconds after which the registration lapses if not renewed.
+    :param instance: id that the endpoint chose for this run of its process.
     """
 
     service: str
@@ -33,7 +36,7 @@
     instance: str
 
 
-def _find_fault(announcement: Announcement) -> str | None:
+def _find_announcement_error(announcement: Announcement) -> str | None:
     if not announcement["service"]:
         return "service is empty"
     if not announcement["url"].startswith("http://"):
@@ -42,38 +45,40 @@
         return f"slots lie between 1 and {MAX_SLOTS}"
     if announcement["connections"] < announcement["slots"]:
         return "fewer connections than slots"
-    if not 0 < announcement["lease_seconds"] <= MAX_LEASE:
-        return f"lease_seconds lie between 0 and {MAX_LEASE:g}"
+    if not 0 < announcement["lease_seconds"] <= MAX_LEASE_SECONDS:
+        return f"lease_seconds lie between 0 and {MAX_LEASE_SECONDS:g}"
     return None
 
 
 class Agent(Protocol):
-    """What this application needs of the process behind it."""
+    """Interface of the agent process that the application uses."""
 
     core: AgentCore
     exporter: Exporter
 
-    async def announce(self, announcement: Announcement) -> None:
-        """Take what the endpoint says of itself."""
+    async def handle_announcement(self, announcement: Announcement) -> None:
+        """Register the endpoint or renew its registration."""
 
-    async def leave(self) -> None:
-        """Let the endpoint leave."""
+    async def handle_departure(self) -> None:
+        """Record that the endpoint is leaving."""
 
 
 def make_app(process: Agent) -> Litestar:
-    """Make the application of one agent."""
+    """Create the HTTP application of an agent."""
 
     @put("/v1/endpoint", summary="Announce the endpoint, or renew.")
     async def announce(data: Announcement) -> Response[bytes] | dict[str, Any]:
-        fault = _find_fault(data)
-        if fault is not None:
-            return make_fault(422, "wrong_announcement", fault, "mend the body")
-        await process.announce(data)
+        error = _find_announcement_error(data)
+        if error is not None:
+            return make_request_problem(
+                422, "wrong_announcement", error, "mend the body"
+            )
+        await process.handle_announcement(data)
         return process.core.describe()
 
     @delete("/v1/endpoint", summary="Say that the endpoint leaves.", status_code=200)
     async def leave() -> dict[str, Any]:
-        await process.leave()
+        await process.handle_departure()
         return process.core.describe()
 
     @get("/v1/endpoint", summary="Show the agent's state.")
@@ -86,7 +91,7 @@
 
     @get("/metrics", summary="Counters and percentiles.", media_type="text/plain")
     async def show_metrics() -> Response[bytes]:
-        return Response(process.exporter.render(), media_type=METRICS_TYPE)
+        return Response(process.exporter.render(), media_type=METRICS_MEDIA_TYPE)
 
     return Litestar(
         route_handlers=[announce, leave, show, show_health, show_metrics],
--- a/src/godwitbank/_internal/http/bodies.py
+++ b/src/godwitbank/_internal/http/bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of callers' requests, decoded and checked."""
+"""Decodes and validates the bodies of callers' requests."""
 
 import math
 from typing import NamedTuple, NotRequired, TypedDict
@@ -10,11 +10,11 @@
 from godwitbank._internal.models.tasks import MAX_TASKS, TaskSpec
 from godwitbank._internal.utils.decoding import decode_json
 
-MAX_NAME = 200
-"""Longest task id, class name or request id, in characters."""
+MAX_NAME_CHARACTERS = 200
+"""Maximum length of a task id, class name or request id."""
 
-MAX_SECONDS = 3600.0
-JSON = "application/json"
+MAX_DEADLINE_SECONDS = 3600.0
+JSON_MEDIA_TYPE = "application/json"
 
 
 TaskBody = TypedDict(
@@ -26,7 +26,7 @@
         "request_id": NotRequired[str],
     },
 )
-"""One task of a job as a caller writes it."""
+"""Request body: one task of a job."""
 
 RequestBody = TypedDict(
     "RequestBody",
@@ -37,33 +37,39 @@
         "deadline_seconds": NotRequired[float],
     },
 )
-"""A single request as a caller writes it."""
+"""Request body: a single request."""
 
 
 class JobBody(TypedDict):
-    """A job as a caller writes it."""
+    """Request body: a job."""
 
     tasks: list[TaskBody]
     deadline_seconds: NotRequired[float]
 
 
-class Parsed(NamedTuple):
-    """A submission ready for the core.
+class ParsedSubmission(NamedTuple):
+    """A validated submission.
 
-    :param seconds: the caller's deadline, or 0 for the document's.
+    :param task_ids: the caller's ids of the tasks, in the order of ``tasks``.
+    :param tasks: tasks for the core.
+    :param deadline_seconds: the caller's deadline in seconds from now, or 0 to use the
+        deadline in the service document.
     """
 
-    names: tuple[str, ...]
+    task_ids: tuple[str, ...]
     tasks: tuple[TaskSpec, ...]
-    seconds: float
+    deadline_seconds: float
 
 
 _job_decoder = msgspec.json.Decoder(JobBody)
 _request_decoder = msgspec.json.Decoder(RequestBody)
 
 
-def parse_job(body: bytes) -> Result[Parsed, str]:
-    """Parse a job; the failure says what is wrong."""
+def parse_job(body: bytes) -> Result[ParsedSubmission, str]:
+    """Parse a job.
+
+    :return: the submission, or a failure with a description of the error.
+    """
     try:
         job = decode_json(_job_decoder, body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -71,30 +77,35 @@
     tasks = job["tasks"]
     if not 1 <= len(tasks) <= MAX_TASKS:
         return Failure(f"{len(tasks)} tasks; a job has 1 to {MAX_TASKS}")
-    names = tuple(task["id"] for task in tasks)
-    if len(set(names)) != len(names):
+    task_ids = tuple(task["id"] for task in tasks)
+    if len(set(task_ids)) != len(task_ids):
         return Failure("two tasks have the same id")
     specs = tuple(_make_spec(task) for task in tasks)
     request_ids = [spec.request_id for spec in specs if spec.request_id]
     if len(set(request_ids)) != len(request_ids):
         return Failure("two tasks have the same request_id")
-    return _check(Parsed(names, specs, job.get("deadline_seconds", 0.0)))
+    return _validate(
+        ParsedSubmission(task_ids, specs, job.get("deadline_seconds", 0.0))
+    )
 
 
-def parse_request(body: bytes, key: str) -> Result[Parsed, str]:
+def parse_request(body: bytes, idempotency_key: str) -> Result[ParsedSubmission, str]:
     """Parse a single request.
 
-    :param key: value of the ``Idempotency-Key`` header, or empty.
+    :param idempotency_key: value of the ``Idempotency-Key`` header, or empty.
+    :return: the submission, or a failure with a description of the error.
     """
     try:
         request = decode_json(_request_decoder, body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         return Failure(str(error))
     spec = _make_spec(request)
-    if key and spec.request_id and key != spec.request_id:
+    if idempotency_key and spec.request_id and idempotency_key != spec.request_id:
         return Failure("request_id and Idempotency-Key differ")
-    spec = spec._replace(request_id=spec.request_id or key)
-    return _check(Parsed(("request",), (spec,), request.get("deadline_seconds", 0.0)))
+    spec = spec._replace(request_id=spec.request_id or idempotency_key)
+    return _validate(
+        ParsedSubmission(("request",), (spec,), request.get("deadline_seconds", 0.0))
+    )
 
 
 def _make_spec(task: "TaskBody | RequestBody") -> TaskSpec:
@@ -102,38 +113,49 @@
     return TaskSpec(task["class"], payload, task.get("request_id", ""))
 
 
-def _check(parsed: Parsed) -> Result[Parsed, str]:
-    for name in (*parsed.names, *(task.class_name for task in parsed.tasks)):
-        if not 1 <= len(name) <= MAX_NAME:
-            return Failure(f"ids and class names have 1 to {MAX_NAME} characters")
-    if any(len(task.request_id) > MAX_NAME for task in parsed.tasks):
-        return Failure(f"request ids have at most {MAX_NAME} characters")
-    seconds = parsed.seconds
-    if not math.isfinite(seconds) or not 0 <= seconds <= MAX_SECONDS:
-        return Failure(f"deadline_seconds lies between 0 and {MAX_SECONDS:g}")
+def _validate(parsed: ParsedSubmission) -> Result[ParsedSubmission, str]:
+    for name in (*parsed.task_ids, *(task.class_name for task in parsed.tasks)):
+        if not 1 <= len(name) <= MAX_NAME_CHARACTERS:
+            return Failure(
+                f"ids and class names have 1 to {MAX_NAME_CHARACTERS} characters"
+            )
+    if any(len(task.request_id) > MAX_NAME_CHARACTERS for task in parsed.tasks):
+        return Failure(f"request ids have at most {MAX_NAME_CHARACTERS} characters")
+    seconds = parsed.deadline_seconds
+    if not math.isfinite(seconds) or not 0 <= seconds <= MAX_DEADLINE_SECONDS:
+        return Failure(f"deadline_seconds lies between 0 and {MAX_DEADLINE_SECONDS:g}")
     return Success(parsed)
 
 
-def encode_job(
-    submission: str, names: tuple[str, ...], answers: tuple[TaskAnswer, ...]
+def encode_job_answer(
+    submission: str, task_ids: tuple[str, ...], answers: tuple[TaskAnswer, ...]
 ) -> bytes:
-    """Encode the whole answer to a job."""
-    rows = [
+    """Encode the response to a completed job.
+
+    :param submission: id of the submission.
+    :param task_ids: the caller's ids of the tasks.
+    :param answers: the endpoints' answers, in the order of ``task_ids``.
+    """
+    encoded_answers = [
         {
-            "id": name,
+            "id": task_id,
             "status": answer.status,
             "content_type": answer.content_type,
             "body": _embed(answer),
         }
-        for name, answer in zip(names, answers, strict=True)
+        for task_id, answer in zip(task_ids, answers, strict=True)
     ]
-    whole = {"status": "complete", "submission": submission, "answers": rows}
-    return msgspec.json.encode(whole)
+    response = {
+        "status": "complete",
+        "submission": submission,
+        "answers": encoded_answers,
+    }
+    return msgspec.json.encode(response)
 
 
 def _embed(answer: TaskAnswer) -> object:
-    # The agent has checked that a JSON answer is JSON; splicing it in unparsed
-    # keeps numbers and key order exactly as the endpoint wrote them.
-    if answer.content_type.startswith(JSON):
+    # The agent has validated JSON answers. Embedding them unparsed preserves numbers
+    # and the order of keys exactly as the endpoint wrote them.
+    if answer.content_type.startswith(JSON_MEDIA_TYPE):
         return msgspec.Raw(answer.body)
     return answer.body.decode("utf-8", errors="replace")
--- a/src/godwitbank/_internal/models/messages.py
+++ b/src/godwitbank/_internal/models/messages.py
@@ -1,8 +1,9 @@
 """Messages between godwitbank's own processes.
 
 Every message is a flat ``NamedTuple`` of scalars and lists, so that the codec
-needs no reflection per frame. Order of the registry is the wire protocol: add
-at the end and raise ``PROTOCOL_VERSION`` when a meaning changes.
+needs no reflection per frame. The order of ``REGISTRY`` is part of the wire
+protocol: add new messages at the end, and raise ``PROTOCOL_VERSION`` when the
+meaning of a message changes.
 """
 
 from enum import StrEnum
@@ -43,7 +44,7 @@
 
 
 class Refusal(StrEnum):
-    """Why an agent did not start a task. Each means: never started, fenced."""
+    """Why an agent refused a start: the attempt never started and is fenced."""
 
     BUSY = "busy"
     LEAVING = "leaving"
@@ -58,7 +59,7 @@
 
 
 class Verdict(StrEnum):
-    """An agent's answer to a question about an earlier start."""
+    """What an agent reports about an earlier start."""
 
     FENCED = "fenced"
     RUNNING = "running"
@@ -75,14 +76,14 @@
 
 
 class Role(StrEnum):
-    """Who is at the other end of a stream."""
+    """Kind of process at the other end of a stream."""
 
     ENTRY = "entry"
     AGENT = "agent"
 
 
 class Hello(NamedTuple):
-    """First frame from whoever dialled.
+    """First frame from the side that opened the stream.
 
     :param address: ``host:port`` where the sender accepts streams.
     """
@@ -96,7 +97,7 @@
 
 
 class Welcome(NamedTuple):
-    """An agent's reply to an entry's hello.
+    """An agent's reply to an entry's ``Hello``.
 
     :param clock: the agent's monotonic clock, in seconds.
     """
@@ -109,9 +110,9 @@
 
 
 class Start(NamedTuple):
-    """Start one task, once, before ``start_by`` of the agent's clock.
+    """Start one task once, no later than ``start_by`` on the agent's clock.
 
-    :param timeout: seconds the endpoint has for its answer.
+    :param timeout: seconds in which the endpoint must answer.
     """
 
     key: TaskKey
@@ -127,9 +128,9 @@
 class Finished(NamedTuple):
     """A started task ended.
 
-    :param run_time: seconds the endpoint took.
-    :param free: slots this entry may use now.
-    :param seen: starts received on this stream so far.
+    :param run_time: seconds that the endpoint took.
+    :param free_slots: slots that the receiving entry may use now.
+    :param starts_received: starts received on this stream so far.
     """
 
     key: TaskKey
@@ -138,8 +139,8 @@
     content_type: str
     body: bytes
     run_time: float
-    free: int
-    seen: int
+    free_slots: int
+    starts_received: int
 
 
 class Refused(NamedTuple):
@@ -147,20 +148,20 @@
 
     key: TaskKey
     reason: str
-    free: int
-    seen: int
+    free_slots: int
+    starts_received: int
 
 
 class Cancel(NamedTuple):
-    """Don't start this attempt if it hasn't started."""
+    """Cancel this attempt if it hasn't started."""
 
     key: TaskKey
 
 
 class Resolve(NamedTuple):
-    """Ask what became of a start sent on an earlier stream.
+    """Ask for the state of a start that was sent on an earlier stream.
 
-    :param start_by: the bound the start carried, in the agent's clock.
+    :param start_by: the time limit of that start, on the agent's clock.
     """
 
     key: TaskKey
@@ -169,16 +170,16 @@
 
 
 class Resolved(NamedTuple):
-    """Answer to ``Resolve``; ``Finished`` follows a ``FINISHED`` verdict."""
+    """Answer to ``Resolve``; after a ``FINISHED`` verdict, ``Finished`` follows."""
 
     key: TaskKey
     verdict: str
 
 
 class Want(NamedTuple):
-    """How much an entry has waiting for this agent's service.
+    """An entry's demand for this agent's service.
 
-    :param waiting: waiting tasks.
+    :param waiting: number of waiting tasks.
     :param rank_in: seconds from now to the rank of the most urgent of them;
         smaller is more urgent.
     """
@@ -188,20 +189,20 @@
 
 
 class Load(NamedTuple):
-    """How many slots the entry may use now.
+    """How many slots the receiving entry may use now.
 
-    :param seen: starts received on this stream so far, so that the entry can
-        subtract those still on their way.
+    :param starts_received: starts received on this stream so far, so that the
+        entry can subtract those still in transit.
     """
 
-    free: int
-    seen: int
+    free_slots: int
+    starts_received: int
 
 
 class EndpointState(NamedTuple):
-    """What stands behind an agent.
+    """The state of an agent's endpoint.
 
-    :param service: empty while no endpoint has announced itself.
+    :param service: empty until an endpoint has announced itself.
     """
 
     service: str
@@ -213,28 +214,28 @@
     """Sent both ways on every stream, whether or not there is other traffic.
 
     :param clock: sender's monotonic clock, in seconds.
-    :param digest: checksum over the service revisions the sender holds.
+    :param digest: checksum of the service revisions that the sender has.
     :param acknowledged: count of ``Finished`` frames received on this stream.
-    :param failure_rate: agent only: share of recent submissions its endpoint
-        failed, 0 to 1.
+    :param failure_rate: share of recent submissions that failed at the sender's
+        endpoint, 0 to 1; only from agents.
     """
 
     clock: float
     digest: int
     acknowledged: int
     failure_rate: float
-    free: int
-    seen: int
+    free_slots: int
+    starts_received: int
 
 
 class Revisions(NamedTuple):
-    """Every service revision the sender holds, as ``[service, revision]``."""
+    """Every service revision that the sender has, as ``[service, revision]``."""
 
     held: list[list[str | int]]
 
 
 class Document(NamedTuple):
-    """One accepted service document."""
+    """An accepted service document."""
 
     service: str
     revision: int
@@ -242,39 +243,39 @@
 
 
 class Peers(NamedTuple):
-    """Addresses the sender knows: entries', then agents'."""
+    """Addresses of the entries and agents that the sender knows."""
 
     entries: list[str]
     agents: list[str]
 
 
 class PeerLoad(NamedTuple):
-    """What an entry tells its peers about one service.
+    """An entry's load for one service, as sent to the other entries.
 
-    :param backlog: seconds of work waiting.
-    :param demand: admitted or refused starts a second.
+    :param backlog_seconds: seconds of work that is waiting.
+    :param demand: starts per second, both admitted and refused.
     """
 
     service: str
-    backlog: float
+    backlog_seconds: float
     demand: float
 
 
 class Drain(NamedTuple):
-    """An operator asks this agent to leave."""
+    """An operator's request that the agent drain."""
 
     operator: str
 
 
 class Recall(NamedTuple):
-    """Ask whether an agent remembers a non-idempotent request."""
+    """Ask whether an agent has a record of a non-idempotent request."""
 
     service: str
     request_id: str
 
 
 class Recalled(NamedTuple):
-    """Answer to ``Recall``; the answer is filled when ``verdict`` is finished."""
+    """Answer to ``Recall``; the other fields are set if ``verdict`` is finished."""
 
     service: str
     request_id: str
@@ -286,7 +287,7 @@
 
 
 class Goodbye(NamedTuple):
-    """The sender is about to close this stream on purpose."""
+    """The sender is about to close this stream deliberately."""
 
     reason: str
 
--- a/src/godwitbank/_internal/platform/client.py
+++ b/src/godwitbank/_internal/platform/client.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store over HTTP."""
+"""HTTP client of the platform's store."""
 
 from urllib.parse import urlencode
 
@@ -10,43 +10,45 @@
 )
 
 MAX_CONNECTIONS = 4
-"""Connections to the store: one waits for changes, the others come and go."""
+"""Most connections to the store: one waits for changes, others serve short calls."""
 
 
 class RefusedCallError(Exception):
-    """The store answered that it did nothing; a later call may be taken."""
+    """The store refused a call and changed nothing; a later call may succeed."""
 
 
-FAILURES = (UnreachableError, NoAnswerError, RefusedCallError)
-"""What a call raises when no usable answer came."""
+CALL_ERRORS = (UnreachableError, NoAnswerError, RefusedCallError)
+"""Exceptions of a call that got no usable answer."""
 
 
-class StoreCalls:
-    """Calls to the store, few at a time.
+class StoreHttpClient:
+    """Calls the store over at most ``MAX_CONNECTIONS`` connections.
 
-    :param address: ``host:port``.
+    :param address: ``host:port`` of the store.
     """
 
     def __init__(self, address: str) -> None:
         self._client = HttpClient(address, MAX_CONNECTIONS)
 
-    async def read(self, path: str, query: dict[str, str], seconds: float) -> bytes:
-        """Read rows.
+    async def read(
+        self, path: str, query: dict[str, str], timeout_seconds: float
+    ) -> bytes:
+        """Send a request to read rows, and return the body of its answer.
 
-        :raises UnreachableError, NoAnswerError, RefusedCallError: see ``FAILURES``.
+        :raises UnreachableError, NoAnswerError, RefusedCallError: see ``CALL_ERRORS``.
         """
         target = f"{path}?{urlencode(query)}"
-        return _expect_success(await self._client.get(target, seconds))
+        return _expect_success(await self._client.get(target, timeout_seconds))
 
-    async def write(self, path: str, body: bytes, seconds: float) -> None:
-        """Write rows.
+    async def write(self, path: str, body: bytes, timeout_seconds: float) -> None:
+        """Send a request to write rows.
 
-        :raises UnreachableError, NoAnswerError, RefusedCallError: see ``FAILURES``.
+        :raises UnreachableError, NoAnswerError, RefusedCallError: see ``CALL_ERRORS``.
         """
-        _expect_success(await self._client.post(path, body, {}, seconds))
+        _expect_success(await self._client.post(path, body, {}, timeout_seconds))
 
     def close(self) -> None:
-        """Close connections."""
+        """Close all connections."""
         self._client.close()
 
 
--- a/src/godwitbank/_internal/platform/reports.py
+++ b/src/godwitbank/_internal/platform/reports.py
@@ -1,4 +1,4 @@
-"""What the endpoint reports to the agent on its VM."""
+"""HTTP interface for the reports of the endpoint on the agent's VM."""
 
 from typing import TYPE_CHECKING
 
@@ -13,22 +13,22 @@
 if TYPE_CHECKING:
     from godwitbank._internal.operations.run_agent import RunAgentProcess
 
-PREFIX = "/-/instances/"
+INSTANCE_PATH_PREFIX = "/-/instances/"
 
 
 def make_reports_app(process: "RunAgentProcess") -> ASGIApp:
-    """Make the application that the endpoint reports to."""
+    """Make the ASGI application that receives the endpoint's reports."""
 
-    async def take(scope: Scope, receive: Receive, send: Send) -> None:
+    async def serve(scope: Scope, receive: Receive, send: Send) -> None:
         if scope["type"] == "http":
-            response = await _take(process, Request(scope, receive))
+            response = await _handle_report(process, Request(scope, receive))
             await response(scope, receive, send)
 
-    return take
+    return serve
 
 
-async def _take(process: "RunAgentProcess", request: Request) -> Response:
-    instance = request.url.path.removeprefix(PREFIX)
+async def _handle_report(process: "RunAgentProcess", request: Request) -> Response:
+    instance = request.url.path.removeprefix(INSTANCE_PATH_PREFIX)
     if not instance or "/" in instance:
         return _respond({"error": "no such path"}, 404)
     if request.method == "DELETE":
@@ -41,7 +41,7 @@
     except ClientDisconnect:
         return _respond({}, 499)
     except msgspec.DecodeError as error:
-        process.refuse_report(instance, str(error))
+        process.record_refused_report(instance, str(error))
         return _respond({"error": str(error)}, 400)
     process.put(event)
     return _respond({})
--- a/src/godwitbank/_internal/platform/rows.py
+++ b/src/godwitbank/_internal/platform/rows.py
@@ -1,7 +1,7 @@
-"""Rows of the platform's store, and what this project keeps in them.
+"""Decoding of the rows of the platform's store.
 
-Other writers may put rows beside ours. Each row is decoded by itself, so that one
-that can't be read leaves the others in force.
+Other writers may put rows into the same tables. Each row is decoded separately, so that
+a malformed one doesn't make the others unusable.
 """
 
 import base64
@@ -16,7 +16,7 @@
 MAX_PORT = 65535
 
 EVACUATION_PREFIX = "evacuate/"
-"""Start of the keys of rows that each ask for one zone to be emptied."""
+"""Prefix of the keys of evacuation rows; the availability zone's name follows it."""
 
 
 class _WireRow(msgspec.Struct):
@@ -34,14 +34,14 @@
 
 _row_decoder = msgspec.json.Decoder(_WireRow)
 _rows_decoder = msgspec.json.Decoder(_WireRows)
-_kept_decoder = msgspec.json.Decoder(EndpointReport)
+_stored_report_decoder = msgspec.json.Decoder(EndpointReport)
 
 
 class Row(NamedTuple):
-    """One row that is there.
+    """An existing row.
 
-    :param part: the part of the table that it stands in; empty where the platform's
-        own rows stand.
+    :param part: part of the table that holds the row; empty for the part of the
+        platform's own rows.
     """
 
     key: str
@@ -49,57 +49,65 @@
     part: str = ""
 
 
-class Change(NamedTuple):
-    """A row that is there or was removed, whether its value can be decoded or not."""
+class RowChange(NamedTuple):
+    """A row that was written or removed, whether or not its value can be decoded."""
 
     key: str
     part: str
     removed: bool
 
 
-class ReadRows(NamedTuple):
-    """What a read of rows returned.
+class ReadResult(NamedTuple):
+    """The result of one read of rows.
 
-    :param version: the store's newest version at that moment.
-    :param unreadable: rows that could not be decoded.
+    :param version: newest version of the store at the time of the read.
+    :param rows: existing rows that could be decoded.
+    :param undecodable_count: number of rows that could not be decoded.
     :param changes: all rows whose key could be decoded, in the store's order.
-    :param has_more: whether there are rows behind these.
+    :param has_more: whether more rows follow on another page.
     """
 
     version: int
     rows: tuple[Row, ...]
-    unreadable: int
-    changes: tuple[Change, ...] = ()
+    undecodable_count: int
+    changes: tuple[RowChange, ...] = ()
     has_more: bool = False
 
 
-def decode_rows(body: bytes) -> ReadRows:
-    """Decode an answer with rows; those that were removed are left out.
+def decode_rows(body: bytes) -> ReadResult:
+    """Decode the store's answer to a read.
 
-    :raises msgspec.DecodeError: when it isn't the store's answer at all.
+    Removed rows are among the changes only, not among the rows.
+
+    :raises msgspec.DecodeError: when the body as a whole has another format.
     """
     wire = decode_json(_rows_decoder, body)
     rows = []
     changes = []
-    unreadable = 0
+    undecodable_count = 0
     for raw in wire.rows:
         try:
             row = decode_json(_row_decoder, raw)
-            changes.append(Change(row.key, row.part, row.removed))
+            changes.append(RowChange(row.key, row.part, row.removed))
             if not row.removed:
                 value = base64.b64decode(row.value, validate=True)
                 rows.append(Row(row.key, value, row.part))
         except (msgspec.DecodeError, ValueError):
-            unreadable += 1
-    return ReadRows(wire.ver, tuple(rows), unreadable, tuple(changes), wire.has_more)
+            undecodable_count += 1
+    return ReadResult(
+        wire.ver, tuple(rows), undecodable_count, tuple(changes), wire.has_more
+    )
 
 
-def find_evacuated(changes: Iterable[Change], before: Iterable[str]) -> frozenset[str]:
+def find_evacuated_zones(
+    changes: Iterable[RowChange], before: Iterable[str]
+) -> frozenset[str]:
     """Find the zones that are evacuated after some changes.
 
-    The row alone asks for it, whatever it holds.
+    A zone is evacuated as long as its row exists, whatever the row's value.
 
-    :param before: the zones that were evacuated before these changes.
+    :param changes: changes of rows, the oldest first.
+    :param before: zones that were evacuated before these changes.
     """
     zones = set(before)
     for change in changes:
@@ -114,7 +122,7 @@
 
 
 def decode_address(value: bytes) -> str | None:
-    """Decode ``host:port``; ``None`` if it is anything else."""
+    """Decode an address ``host:port``, or return ``None`` if the value is none."""
     try:
         text = value.decode("ascii")
     except UnicodeDecodeError:
@@ -125,10 +133,13 @@
     return text
 
 
-def decode_kept_report(value: bytes) -> EndpointReport | None:
-    """Decode a report that an agent has kept; ``None`` if it is anything else."""
+def decode_stored_report(value: bytes) -> EndpointReport | None:
+    """Decode a report that an agent has stored.
+
+    :return: the report, or ``None`` if the value is no valid one.
+    """
     try:
-        report = decode_json(_kept_decoder, value)
+        report = decode_json(_stored_report_decoder, value)
     except (msgspec.DecodeError, ValueError):
         return None
     if not report.instance or not report.service or min(report.capacity) < 0:
--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -1,19 +1,21 @@
-"""A fault-injecting TCP proxy, also used as the platform's balancer.
+"""A fault-injecting TCP proxy, also used as a stand-in for the platform's balancer.
 
 ``python -m standins.proxy CONTROL LISTEN=TARGET[,TARGET...] ...`` forwards each
-listening port, or ``HOST:PORT``, to its targets in turn. Commands come as JSON
-lines on the control port:
+listening port, or ``HOST:PORT``, to its targets in round-robin order. The control port
+accepts commands as JSON lines:
 ``{"listen": 9000, "delay": 0.003, "freeze": "to_target", "cut": true}``.
 
-* ``delay``: seconds added each way.
-* ``freeze``: ``none``, ``to_target``, ``to_client`` or ``both``; bytes of the
-  connections open now are lost, new connections work.
-* ``hold``: the same ways; bytes of all connections, new ones too, wait until the
-  hold ends and are delivered then, as after a partition of the network.
-* ``cut``: close the connections open now.
-* ``link``: the number of the one connection that ``freeze`` and ``cut`` mean.
+* ``delay``: seconds of delay added in each direction.
+* ``freeze``: ``none``, ``to_target``, ``to_client`` or ``both``; data in these
+  directions is discarded on the connections that are open now, and new connections
+  work.
+* ``hold``: the same directions; data of all connections, including new ones, is
+  buffered and delivered when the hold ends, as after a network partition.
+* ``cut``: close the connections that are open now.
+* ``link``: apply ``freeze`` and ``cut`` only to the connection with this number,
+  modulo the number of open connections; the oldest one has number 0.
 * ``refuse``: close new connections at once.
-* ``drop``: bytes to swallow from the next data towards the target.
+* ``drop``: number of bytes to discard from the next data towards the target.
 * ``repeat``: send the next data towards the target twice.
 * ``targets``: replace the targets.
 """
@@ -26,87 +28,94 @@
 
 
 class Pipe(asyncio.Protocol):
-    """One side of a forwarded connection."""
+    """One side of a forwarded connection.
 
-    def __init__(self, link: "Link", towards: str) -> None:
-        self.link = link
+    :param towards: direction of the data received here: ``to_target`` or
+        ``to_client``.
+    """
+
+    def __init__(self, connection: "ForwardedConnection", towards: str) -> None:
+        self.connection = connection
         self.towards = towards
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Forward, after the faults have had their turn."""
-        self.link.forward(self.towards, data)
+        """Forward the data, subject to the injected faults."""
+        self.connection.forward(self.towards, data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Close the other side too."""
+        """Close the other side too, unless the connection is frozen."""
         del exc
-        self.link.end(self.towards)
+        self.connection.handle_close(self.towards)
 
 
-class Link:
-    """A client's connection and the one to its target."""
+class ForwardedConnection:
+    """The connection of a client and the connection to its target."""
 
     def __init__(self, route: "Route") -> None:
         self.route = route
         self.frozen = {"to_target": False, "to_client": False}
-        self.waiting: list[bytes] = []
+        self.unsent: list[bytes] = []
         self.held: list[tuple[str, bytes]] = []
-        self.ends: dict[str, asyncio.Transport | None] = {
+        self.transports: dict[str, asyncio.Transport | None] = {
             "to_target": None,
             "to_client": None,
         }
 
     def forward(self, towards: str, data: bytes) -> None:
-        """Pass bytes on."""
+        """Forward, hold or discard data, as the injected faults demand."""
         if self.frozen[towards]:
             return
         if self.route.hold in (towards, "both"):
             self.held.append((towards, data))
             return
         if towards == "to_target":
-            data = self.route.spoil(data)
+            data = self.route.apply_data_faults(data)
         if self.route.delay:
             loop = asyncio.get_running_loop()
             loop.call_later(self.route.delay, self.write, towards, data)
         else:
             self.write(towards, data)
 
-    def release(self) -> None:
-        """Pass on what was held."""
+    def deliver_held(self) -> None:
+        """Forward the data that was held."""
         held, self.held = self.held, []
         for towards, data in held:
             self.forward(towards, data)
 
     def write(self, towards: str, data: bytes) -> None:
-        """Write bytes to an end, or keep them until it is connected."""
-        end = self.ends[towards]
-        if end is not None:
-            end.write(data)
+        """Write data to one side; buffer it until the target is connected."""
+        transport = self.transports[towards]
+        if transport is not None:
+            transport.write(data)
         elif towards == "to_target":
-            self.waiting.append(data)
+            self.unsent.append(data)
+
+    def handle_close(self, towards: str) -> None:
+        """Close the other side after one side has closed.
 
-    def end(self, towards: str) -> None:
-        """One side ended: end the other, unless that would break the silence."""
+        A frozen connection stays open: a close would tell its peer about the fault.
+        """
         if any(self.frozen.values()):
             return
-        other = self.ends[towards]
+        other = self.transports[towards]
         if other is not None:
             if self.route.delay:
                 asyncio.get_running_loop().call_later(self.route.delay, other.close)
             else:
                 other.close()
-        self.route.links.pop(self, None)
+        self.route.connections.pop(self, None)
 
     def cut(self) -> None:
-        """Close both ends."""
-        for end in self.ends.values():
-            if end is not None:
-                end.abort()
+        """Abort both connections."""
+        for transport in self.transports.values():
+            if transport is not None:
+                transport.abort()
 
 
 class Route:
@@ -115,17 +124,17 @@
     def __init__(self, listen: str, targets: list[tuple[str, int]]) -> None:
         self.listen = listen
         self.targets = targets
-        self.turn = itertools.count()
-        # Oldest first: a set would give another order each run.
-        self.links: dict[Link, None] = {}
+        self.next_target = itertools.count()
+        # Ordered by age, oldest first; a set would have a different order in each run.
+        self.connections: dict[ForwardedConnection, None] = {}
         self.delay = 0.0
         self.hold = "none"
         self.refuse = False
         self.drop = 0
         self.repeat = False
 
-    def spoil(self, data: bytes) -> bytes:
-        """Drop or repeat bytes if told to."""
+    def apply_data_faults(self, data: bytes) -> bytes:
+        """Apply ``drop`` and ``repeat`` to data towards the target."""
         dropped, self.drop = min(self.drop, len(data)), max(0, self.drop - len(data))
         data = data[dropped:]
         if self.repeat and data:
@@ -134,72 +143,77 @@
         return data
 
     def accept(self) -> Pipe:
-        """Make the client's side of a new connection."""
-        link = Link(self)
-        return ClientPipe(link, "to_target")
-
-    async def connect(self, link: Link, client: asyncio.Transport) -> None:
-        """Connect to the next target that accepts."""
-        link.ends["to_client"] = client
+        """Create the client's side of a new connection."""
+        connection = ForwardedConnection(self)
+        return ClientPipe(connection, "to_target")
+
+    async def connect(
+        self, connection: ForwardedConnection, client: asyncio.Transport
+    ) -> None:
+        """Connect to the next target that accepts; abort the client if none does."""
+        connection.transports["to_client"] = client
         if self.refuse:
             client.abort()
             return
-        self.links[link] = None
+        self.connections[connection] = None
         loop = asyncio.get_running_loop()
         for _ in range(len(self.targets)):
-            host, port = self.targets[next(self.turn) % len(self.targets)]
+            host, port = self.targets[next(self.next_target) % len(self.targets)]
             try:
                 transport, _ = await loop.create_connection(
-                    lambda: Pipe(link, "to_client"), host, port
+                    lambda: Pipe(connection, "to_client"), host, port
                 )
             except OSError:
                 continue
-            link.ends["to_target"] = transport
-            for data in link.waiting:
+            connection.transports["to_target"] = transport
+            for data in connection.unsent:
                 transport.write(data)
             return
         client.abort()
 
-    def control(self, command: dict[str, Any]) -> None:
-        """Obey a command."""
+    def apply_command(self, command: dict[str, Any]) -> None:
+        """Apply a command; see the module's docstring."""
         for name in ("delay", "refuse", "drop", "repeat", "hold"):
             if name in command:
                 setattr(self, name, command[name])
         if "hold" in command:
-            for link in self.links:
-                link.release()
+            for connection in self.connections:
+                connection.deliver_held()
         if "targets" in command:
-            self.targets = [parse(each) for each in command["targets"]]
+            self.targets = [parse_address(each) for each in command["targets"]]
         if "freeze" in command:
-            for link in self._select(command):
-                for way in link.frozen:
-                    link.frozen[way] = command["freeze"] in (way, "both")
+            for connection in self._select(command):
+                for direction in connection.frozen:
+                    connection.frozen[direction] = command["freeze"] in (
+                        direction,
+                        "both",
+                    )
         if command.get("cut"):
-            for link in self._select(command):
-                link.cut()
-                self.links.pop(link, None)
+            for connection in self._select(command):
+                connection.cut()
+                self.connections.pop(connection, None)
 
-    def _select(self, command: dict[str, Any]) -> list[Link]:
-        links = list(self.links)
-        if "link" in command and links:
-            return [links[command["link"] % len(links)]]
-        return links
+    def _select(self, command: dict[str, Any]) -> list[ForwardedConnection]:
+        connections = list(self.connections)
+        if "link" in command and connections:
+            return [connections[command["link"] % len(connections)]]
+        return connections
 
 
 class ClientPipe(Pipe):
-    """The client's side; connects the other one."""
+    """The client's side of a connection; opens the connection to the target."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Connect to a target."""
+        """Store the transport and connect to a target."""
         super().connection_made(transport)
         assert self.transport is not None
         self.connecting = asyncio.ensure_future(
-            self.link.route.connect(self.link, self.transport)
+            self.connection.route.connect(self.connection, self.transport)
         )
 
 
-def parse(address: str) -> tuple[str, int]:
-    """Split ``host:port`` or a bare port."""
+def parse_address(address: str) -> tuple[str, int]:
+    """Split ``HOST:PORT``; a bare port means 127.0.0.1."""
     host, _, port = address.rpartition(":")
     return host or "127.0.0.1", int(port)
 
@@ -209,16 +223,18 @@
     by_address = {route.listen: route for route in routes}
     loop = asyncio.get_running_loop()
     for route in routes:
-        await loop.create_server(route.accept, *parse(route.listen))
+        await loop.create_server(route.accept, *parse_address(route.listen))
 
-    async def obey(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle_commands(
+        reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         while line := await reader.readline():
             command = json.loads(line)
-            by_address[str(command["listen"])].control(command)
+            by_address[str(command["listen"])].apply_command(command)
             writer.write(b"{}\n")
         writer.close()
 
-    server = await asyncio.start_server(obey, "127.0.0.1", control_port)
+    server = await asyncio.start_server(handle_commands, "127.0.0.1", control_port)
     await server.serve_forever()
 
 
@@ -227,7 +243,9 @@
     routes = []
     for argument in sys.argv[2:]:
         listen, _, targets = argument.partition("=")
-        routes.append(Route(listen, [parse(each) for each in targets.split(",")]))
+        routes.append(
+            Route(listen, [parse_address(each) for each in targets.split(",")])
+        )
     asyncio.run(serve(int(sys.argv[1]), routes))
 
 
--- a/tests/core/runs/test_status_updates.py
+++ b/tests/core/runs/test_status_updates.py
@@ -85,7 +85,7 @@
 
 def test_changes_of_the_endpoint_are_sent_immediately() -> None:
     updates = make_updates(make_room(16000))
-    closed = NEWS._replace(open=False)
+    closed = NEWS._replace(accepts_runs=False)
     assert list_due(updates, make_room(9000), NOW + 0.001, closed) == [closed]
 
 
--- a/tests/failures/test_jobs.py
+++ b/tests/failures/test_jobs.py
@@ -6,15 +6,15 @@
 import pytest
 from standins.fleet import Fleet, wait_for
 
-from tests.lib.scenes import (
-    await_running,
+from tests.lib.fleet_helpers import (
     base_url,
     count_starts,
-    in_background,
     make_job,
     read_counter,
+    run_in_background,
     send_job,
     start_desk,
+    wait_for_running,
 )
 
 pytestmark = pytest.mark.processes
@@ -28,68 +28,67 @@
     assert "answers" not in problem
 
 
-def test_endpoint_that_dies_fails_the_job(fleet: Fleet) -> None:
-    """An endpoint dies in the middle of a job.
+def test_killed_endpoint_fails_the_job(fleet: Fleet) -> None:
+    """Kill an endpoint that runs tasks of a job.
 
-    Symptom: a partial answer, or none until the deadline.
-    Sequence: tasks of a job run at an endpoint that is killed.
-    Cause: a started task can't be started again.
+    Started tasks can't be started again, so the job must fail promptly: no partial
+    answer, and no wait until the deadline.
     """
     start_desk(fleet, agents=2)
-    job = in_background(send_job, fleet.entries[0], make_job(60, run_ms=1000))
-    await_running(fleet, 16)
+    job = run_in_background(send_job, fleet.entries[0], make_job(60, run_ms=1000))
+    wait_for_running(fleet, 16)
     fleet.endpoints[0].kill()
     _assert_failed(job.result(timeout=10), "endpoint_failed")
 
 
 @pytest.mark.parametrize("fault", ["short", "fail"])
-def test_one_bad_task_fails_the_job_at_once(fleet: Fleet, fault: str) -> None:
-    """One task's answer is cut short, or refused by the endpoint.
+def test_one_failed_task_fails_the_job_at_once(fleet: Fleet, fault: str) -> None:
+    """Let the first task of a long job fail while others still wait.
 
-    Symptom: the caller gets the other answers, or waits for them in vain.
-    Sequence: the first task of a long job ends badly; the rest still wait.
-    Cause: a short read taken for an answer; a failure noticed at the end only.
+    The endpoint truncates the task's answer or answers with an error. If a truncated
+    answer counted as complete, or failures were noticed only at the end of the job, the
+    caller would receive the other answers or wait for them in vain.
     """
     start_desk(fleet, agents=1)
     job = make_job(100, run_ms=500)
     job["tasks"][0]["payload"] = {"run_ms": 10, fault: True}
-    began = time.monotonic()
+    started_at = time.monotonic()
     answer = send_job(fleet.entries[0], job)
-    took = time.monotonic() - began
+    elapsed_seconds = time.monotonic() - started_at
     _assert_failed(answer, "endpoint_failed")
     assert answer.json()["task"] == "t0"
-    # All hundred tasks would take 6 s; the job must not have waited for them.
-    assert took < 5
+    # All hundred tasks would take 6 s; the job must fail without waiting for them.
+    assert elapsed_seconds < 5
     started = len(count_starts(fleet))
     assert started <= 16
-    status = fleet.status()
+    status = fleet.read_status()
     assert status["jobs"] == 0
     assert status["services"][0]["waiting"] == 0
 
 
-def test_callers_that_hang_up_leave_no_work_behind(fleet: Fleet) -> None:
-    """A wave of callers hangs up.
+def test_jobs_of_disconnected_callers_are_cancelled(fleet: Fleet) -> None:
+    """Disconnect forty callers whose jobs wait for slots.
 
-    Symptom: endpoints run work that nobody waits for.
-    Sequence: forty jobs wait for slots, every caller closes its connection.
-    Cause: the entry doesn't notice, or cancels one by one at full cost.
+    If the entry didn't notice the closed connections, or cancelled the jobs one by one
+    at full cost, endpoints would run tasks that no caller waits for.
     """
     start_desk(fleet, agents=1, slots=4)
     url = f"{base_url(fleet.entries[0])}/v1/services/desk/jobs"
 
-    def hang_up() -> None:
+    def disconnect() -> None:
         with pytest.raises(httpx.TimeoutException):
             httpx.post(url, json=make_job(4, run_ms=8000), timeout=1.0)
 
-    callers = [in_background(hang_up) for _ in range(40)]
+    callers = [run_in_background(disconnect) for _ in range(40)]
     for caller in callers:
         caller.result(timeout=20)
-    wait_for(lambda: fleet.status()["jobs"] == 0, "the jobs to be dropped", 10)
+    wait_for(lambda: fleet.read_status()["jobs"] == 0, "the jobs to be dropped", 10)
     entry = fleet.entries[0]
     assert read_counter(entry, "submissions_failed", "cancelled") == 40
-    # No slot frees before the last caller is gone, however slow the machine is.
+    # The run time ensures that no slot becomes free before the last caller has
+    # disconnected, even on a slow machine.
     assert len(count_starts(fleet)) <= 4
     endpoint = fleet.endpoints[0]
-    wait_for(lambda: fleet.record(endpoint)["running"] == 0, "the runs to end", 20)
+    wait_for(lambda: fleet.read_record(endpoint)["running"] == 0, "the runs to end", 20)
     assert len(count_starts(fleet)) <= 4
     assert send_job(entry, make_job(4, run_ms=5)).status_code == 200
